--- a/programs/durable_entry_main.cpp
+++ b/programs/durable_entry_main.cpp
@@ -51,8 +51,8 @@
     line.choice("job-hosts", settings.handover.mode,
                 "whether agents' processes run whole jobs for entries: "
                 "automatic where no entry has the power to place for all");
-    line.number<std::size_t>("host-agents", settings.handover.group_agents, 1,
-                             10000, "agents", "of one host, about");
+    line.number<std::size_t>("host-agents", settings.handover.agents_per_group,
+                             1, 10000, "agents", "of one host, about");
     line.number<std::size_t>("sampled-groups", settings.handover.sampled_groups,
                              1, 10000, "groups",
                              "to whose hosts this entry hands jobs");
@@ -61,7 +61,8 @@
                              "entries",
                              "that hand jobs to a group, at least and on "
                              "average");
-    line.number<std::uint32_t>("strong-entry", settings.handover.strong, 1,
+    line.number<std::uint32_t>("strong-entry",
+                               settings.handover.strong_entry_millicores, 1,
                                1'000'000, "millicores",
                                "an entry that may use as much for each agent "
                                "can place for all");
--- a/src/glenhollow/durable/configuration_keeper.cpp
+++ b/src/glenhollow/durable/configuration_keeper.cpp
@@ -11,7 +11,7 @@
 {
 
 configuration_keeper::configuration_keeper(
-    surroundings around, const configuration_keeper_settings& settings)
+    dependencies around, const configuration_keeper_settings& settings)
     : around_(std::move(around)), settings_(settings),
       random_(static_cast<std::minstd_rand::result_type>(settings.seed))
 {
--- a/src/glenhollow/durable/configuration_keeper.hpp
+++ b/src/glenhollow/durable/configuration_keeper.hpp
@@ -78,7 +78,7 @@
     using copy_handler = std::function<void(std::optional<configuration_copy>)>;
 
     /// What surrounds the keeper.
-    struct surroundings
+    struct dependencies
     {
         const clock_source& clock; ///< Outlives it.
         catalog_parser parse;      ///< Reads documents.
@@ -91,7 +91,7 @@
 
     /// @param around What surrounds it.
     /// @param settings Limits.
-    configuration_keeper(surroundings around,
+    configuration_keeper(dependencies around,
                          const configuration_keeper_settings& settings);
 
     /// @param document Whole, perhaps known.
@@ -134,7 +134,7 @@
     void ended(result<queue_catalog> read);
     void fetch_from(const std::string& peer);
 
-    surroundings around_;                     ///< What surrounds it.
+    dependencies around_;                     ///< What surrounds it.
     configuration_keeper_settings settings_;  ///< Limits.
     queue_catalog catalog_;                   ///< In force.
     std::string document_;                    ///< Its source.
--- a/src/glenhollow/durable/durable_members.cpp
+++ b/src/glenhollow/durable/durable_members.cpp
@@ -51,7 +51,7 @@
     needs.sample_revision = handover_.sample_revision();
     needs.every_agent = ownership_.open_jobs() > 0 || handover_.lacks_label();
     needs.in_use = [this](const std::string& agent)
-    { return memory_.open_jobs() > 0 || handover_.follows(agent); };
+    { return memory_.open_jobs() > 0 || handover_.is_linked_host(agent); };
     return needs;
 }
 
--- a/src/glenhollow/durable/durable_service.cpp
+++ b/src/glenhollow/durable/durable_service.cpp
@@ -51,7 +51,7 @@
 entry_peers_settings peers_of(const durable_service_settings& of)
 {
     auto settings = of.peers;
-    settings.gossip.random = of.incarnation;
+    settings.gossip.seed = of.incarnation;
     return settings;
 }
 
@@ -107,8 +107,8 @@
       groups_(
           clock, peers_, dispatcher_, [this] { schedule_dispatch(); },
           groups_of(settings)),
-      ownership_(surroundings(), peers_, *this, ownership_of(settings)),
-      memory_(surroundings(), memory_of(settings)),
+      ownership_(dependencies(), peers_, *this, ownership_of(settings)),
+      memory_(dependencies(), memory_of(settings)),
       handover_(handover_surroundings(), settings.handover),
       router_(clock, delay(), ownership_, peers_, router_of(settings)),
       cancellation_(clock, *this, *this, cancel_kept(), settings.cancellation),
@@ -149,12 +149,12 @@
     };
 }
 
-job_coordinator::surroundings durable_service::surroundings()
+job_coordinator::dependencies durable_service::dependencies()
 {
     return {clock_, wall_milliseconds, store_, dispatcher_, delay()};
 }
 
-job_handover::surroundings durable_service::handover_surroundings()
+job_handover::dependencies durable_service::handover_surroundings()
 {
     return {settings_.entry,
             clock_,
@@ -208,7 +208,7 @@
     handover_.tick(
         {entries_.size() + 1, std::max(strongest_, power_of(settings_))});
     choose_sessions();
-    members_.pace(feed_gap(settings_.member_feed, entries_.size() + 1));
+    members_.pace(feed_interval(settings_.member_feed, entries_.size() + 1));
     choose_placer();
     schedule_dispatch();
     delay()(tick_interval, [this] { tick(); });
@@ -368,7 +368,7 @@
     return evacuated_.of(known->second.account().zone);
 }
 
-configuration_keeper::surroundings
+configuration_keeper::dependencies
 durable_service::around_configuration(catalog_parser parse)
 {
     return {
--- a/src/glenhollow/durable/durable_service.hpp
+++ b/src/glenhollow/durable/durable_service.hpp
@@ -190,7 +190,7 @@
                                     const std::string& agent) override;
 
     job_coordinator* coordinator_of(const run_ref& run);
-    job_handover::surroundings handover_surroundings();
+    job_handover::dependencies handover_surroundings();
     void submit_here(const job_definition& job, job_reply_handler done);
     bool hands_all_over() const;
     session_demand session_needs() const;
@@ -199,7 +199,7 @@
     void take_operator_row(const stored_row& row);
     void operator_rows_current(std::uint64_t version);
     void log_evacuations(std::string_view source);
-    configuration_keeper::surroundings
+    configuration_keeper::dependencies
     around_configuration(catalog_parser parse);
     void tick();
     void check_agents();
@@ -211,7 +211,7 @@
     void collect_parts(metric_page& page);
     void collect_router(metric_page& page) const;
     void collect_cancels(metric_page& page) const;
-    job_coordinator::surroundings surroundings();
+    job_coordinator::dependencies dependencies();
     journal_chain::delay delay();
 
     /// Guards delayed work; first, since the others' delays hold it.
--- a/src/glenhollow/durable/job_coordinator.cpp
+++ b/src/glenhollow/durable/job_coordinator.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-job_coordinator::job_coordinator(surroundings around, part_number part,
+job_coordinator::job_coordinator(dependencies around, part_number part,
                                  const chain_head& head, loaded_part loaded,
                                  std::set<std::string> awaited,
                                  const job_coordinator_settings& settings,
@@ -46,7 +46,7 @@
         all_agents_told();
 }
 
-job_coordinator::job_coordinator(surroundings around,
+job_coordinator::job_coordinator(dependencies around,
                                  const job_coordinator_settings& settings)
     : around_(std::move(around)), part_(memory_part), epoch_(0),
       settings_(settings), claimed_(around_.clock.now())
--- a/src/glenhollow/durable/job_coordinator.hpp
+++ b/src/glenhollow/durable/job_coordinator.hpp
@@ -117,7 +117,7 @@
     using wall_clock = std::function<std::int64_t()>;
 
     /// What a part needs of its entry; all outlive the part.
-    struct surroundings
+    struct dependencies
     {
         const clock_source& clock;  ///< This entry's.
         wall_clock wall_ms;         ///< Ms since 1970.
@@ -133,7 +133,7 @@
     /// @param awaited Agents that may run something of it.
     /// @param settings Limits.
     /// @param on_lost Told when another entry has taken the part.
-    job_coordinator(surroundings around, part_number part,
+    job_coordinator(dependencies around, part_number part,
                     const chain_head& head, loaded_part loaded,
                     std::set<std::string> awaited,
                     const job_coordinator_settings& settings,
@@ -142,7 +142,7 @@
     /// For jobs in memory.
     /// @param around What it needs.
     /// @param settings Limits.
-    job_coordinator(surroundings around,
+    job_coordinator(dependencies around,
                     const job_coordinator_settings& settings);
     ~job_coordinator();
 
@@ -337,7 +337,7 @@
     void forget_old();
     row_key key(std::string_view table, job_id id) const;
 
-    surroundings around_;                           ///< Of the entry.
+    dependencies around_;                           ///< Of the entry.
     part_number part_;                              ///< Which part.
     std::uint32_t epoch_;                           ///< Of this ownership.
     job_coordinator_settings settings_;             ///< Limits.
--- a/src/glenhollow/durable/part_ownership.cpp
+++ b/src/glenhollow/durable/part_ownership.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-part_ownership::part_ownership(job_coordinator::surroundings around,
+part_ownership::part_ownership(job_coordinator::dependencies around,
                                entry_peers& peers,
                                part_ownership_listener& listener,
                                const part_ownership_settings& settings)
--- a/src/glenhollow/durable/part_ownership.hpp
+++ b/src/glenhollow/durable/part_ownership.hpp
@@ -69,7 +69,7 @@
     /// @param peers The other entries; outlive it.
     /// @param listener Told; outlives it.
     /// @param settings Limits.
-    part_ownership(job_coordinator::surroundings around, entry_peers& peers,
+    part_ownership(job_coordinator::dependencies around, entry_peers& peers,
                    part_ownership_listener& listener,
                    const part_ownership_settings& settings);
     ~part_ownership();
@@ -146,7 +146,7 @@
     void balance();
     std::vector<std::string> candidates() const;
 
-    job_coordinator::surroundings around_; ///< What parts need.
+    job_coordinator::dependencies around_; ///< What parts need.
     entry_peers& peers_;                   ///< The other entries.
     part_ownership_listener& listener_;    ///< Told.
     part_ownership_settings settings_;     ///< Limits.
--- a/src/glenhollow/entry/control_plane.cpp
+++ b/src/glenhollow/entry/control_plane.cpp
@@ -222,14 +222,14 @@
     for (const auto& seed : settings_.seeds)
     {
         peers_.ask_members(seed, [this](const std::vector<member>& known)
-                           { members_.learn(known); });
+                           { members_.add_unknown(known); });
     }
 }
 
 void control_plane::take_members()
 {
-    const auto runners = members_.of_role(member_role::runner);
-    const auto entries = members_.of_role(member_role::entry);
+    const auto runners = members_.with_role(member_role::runner);
+    const auto entries = members_.with_role(member_role::entry);
     const auto chosen =
         link_subset(settings_.entry, entries, runners, settings_.subset);
     shards_.for_all([chosen](shard& one) { one.links().set_agents(chosen); });
--- a/src/glenhollow/entry/foreign_jobs.cpp
+++ b/src/glenhollow/entry/foreign_jobs.cpp
@@ -179,12 +179,12 @@
 
 std::vector<member> foreign_jobs::agents_of(const submission_id& id) const
 {
-    auto runners = members_.of_role(member_role::runner);
+    auto runners = members_.with_role(member_role::runner);
     if (runners.size() <= settings_.ask_all)
         return runners;
     // In a large system only the agents are asked that the entry can have had
     // links to; twice as many as now, since members have come and gone.
-    auto entries = members_.of_role(member_role::entry);
+    auto entries = members_.with_role(member_role::entry);
     if (!members_.find(id.entry))
         entries.push_back(
             {id.entry, member_role::entry, id.hall, {}, member_state::leaving});
--- a/src/glenhollow/hosting/host_groups.cpp
+++ b/src/glenhollow/hosting/host_groups.cpp
@@ -14,28 +14,29 @@
 {
 
 /// Seeds that keep the orders of agents, hosts and jobs apart.
-constexpr std::uint64_t agent_order = 1;
-constexpr std::uint64_t host_order = 2;
-constexpr std::uint64_t sample_order = 3;
+constexpr std::uint64_t agent_order_seed = 1;
+constexpr std::uint64_t host_order_seed = 2;
+constexpr std::uint64_t sample_order_seed = 3;
 
-std::uint64_t score(const std::string& name, std::uint64_t seed)
+std::uint64_t hash_score(const std::string& name, std::uint64_t seed)
 {
     return XXH3_64bits_withSeed(name.data(), name.size(), seed);
 }
 
-constexpr double exact_steps = 9007199254740992.0; // 2^53: exact in a double.
+constexpr double mantissa_range =
+    9007199254740992.0; // 2^53: exact in a double.
 
-/// @return A whole number below exact_steps.
-double exact(std::uint64_t bits)
+/// @return A whole number below mantissa_range.
+double mantissa_bits(std::uint64_t bits)
 {
     constexpr unsigned unused_bits = 11;
     return static_cast<double>(bits >> unused_bits);
 }
 
 /// @return A number in (0, 1] that belongs to a job and a host.
-double draw(job_id job, const std::string& host)
+double uniform_draw(job_id job, const std::string& host)
 {
-    return (exact(score(host, job)) + 1) / exact_steps;
+    return (mantissa_bits(hash_score(host, job)) + 1) / mantissa_range;
 }
 
 } // namespace
@@ -49,47 +50,50 @@
     std::sort(agents.begin(), agents.end(),
               [](const std::string& a, const std::string& b)
               {
-                  return std::pair(score(a, agent_order), a) <
-                         std::pair(score(b, agent_order), b);
+                  return std::pair(hash_score(a, agent_order_seed), a) <
+                         std::pair(hash_score(b, agent_order_seed), b);
               });
-    const auto wanted = std::max<std::size_t>(1, (count + size / 2) / size);
-    std::vector<host_group> groups(wanted);
+    const auto target_count =
+        std::max<std::size_t>(1, (count + size / 2) / size);
+    std::vector<host_group> groups(target_count);
     for (std::size_t i = 0; i < count; ++i)
-        groups[i * wanted / count].agents.push_back(std::move(agents[i]));
+        groups[i * target_count / count].agents.push_back(std::move(agents[i]));
     return groups;
 }
 
 std::vector<std::size_t> sample_groups(const std::string& entry,
-                                       std::size_t groups, std::size_t wanted)
+                                       std::size_t groups,
+                                       std::size_t target_count)
 {
     std::set<std::size_t> drawn;
-    if (wanted >= groups)
+    if (target_count >= groups)
     {
         for (std::size_t i = 0; i < groups; ++i)
             drawn.insert(i);
         return {drawn.begin(), drawn.end()};
     }
-    for (std::uint64_t i = 0; drawn.size() < wanted; ++i)
+    for (std::uint64_t i = 0; drawn.size() < target_count; ++i)
     {
-        const auto bits =
-            XXH3_64bits_withSeed(&i, sizeof i, score(entry, sample_order));
-        const double place = exact(bits) / exact_steps;
+        const auto bits = XXH3_64bits_withSeed(
+            &i, sizeof i, hash_score(entry, sample_order_seed));
+        const double position = mantissa_bits(bits) / mantissa_range;
         drawn.insert(
-            static_cast<std::size_t>(place * static_cast<double>(groups)));
+            static_cast<std::size_t>(position * static_cast<double>(groups)));
     }
     return {drawn.begin(), drawn.end()};
 }
 
-std::string choose_host(const host_group& group,
-                        const std::function<bool(const std::string&)>& able)
+std::string
+choose_host(const host_group& group,
+            const std::function<bool(const std::string&)>& is_eligible)
 {
     const std::string* best = nullptr;
     for (const auto& agent : group.agents)
     {
-        if (!able(agent))
+        if (!is_eligible(agent))
             continue;
-        if (best == nullptr ||
-            score(agent, host_order) < score(*best, host_order))
+        if (best == nullptr || hash_score(agent, host_order_seed) <
+                                   hash_score(*best, host_order_seed))
             best = &agent;
     }
     return best == nullptr ? std::string{} : *best;
@@ -98,7 +102,7 @@
 std::size_t draw_host(job_id job, const std::vector<host_choice>& choices)
 {
     std::size_t best = choices.size();
-    double shortest = 0;
+    double min_time = 0;
     for (std::size_t i = 0; i < choices.size(); ++i)
     {
         if (choices[i].weight <= 0)
@@ -106,11 +110,11 @@
         // Times of first events at these rates: each is the shortest as often
         // as its rate's share of all.
         const double time =
-            -std::log(draw(job, choices[i].host)) / choices[i].weight;
-        if (best < choices.size() && time >= shortest)
+            -std::log(uniform_draw(job, choices[i].host)) / choices[i].weight;
+        if (best < choices.size() && time >= min_time)
             continue;
         best = i;
-        shortest = time;
+        min_time = time;
     }
     return best;
 }
--- a/src/glenhollow/hosting/host_groups.hpp
+++ b/src/glenhollow/hosting/host_groups.hpp
@@ -37,7 +37,8 @@
 /// @param wanted How many to draw.
 /// @return Their indices, rising; all groups where no more are there.
 std::vector<std::size_t> sample_groups(const std::string& entry,
-                                       std::size_t groups, std::size_t wanted);
+                                       std::size_t groups,
+                                       std::size_t target_count);
 
 /// Chooses the agent whose process hosts the jobs of its group: the first in an
 /// order of the group's own, so that all entries choose alike from like views.
@@ -46,8 +47,9 @@
 /// @param group Its agents.
 /// @param able Whether an agent's process could be the host now.
 /// @return The host's name; empty where no agent is able.
-std::string choose_host(const host_group& group,
-                        const std::function<bool(const std::string&)>& able);
+std::string
+choose_host(const host_group& group,
+            const std::function<bool(const std::string&)>& is_eligible);
 
 /// A host that could take a job.
 struct host_choice
--- a/src/glenhollow/hosting/host_link.cpp
+++ b/src/glenhollow/hosting/host_link.cpp
@@ -12,19 +12,20 @@
 /// An open session.
 struct host_link::session
 {
-    wire::JobHost::Client host;        ///< What is called.
-    std::vector<agent_address> told;   ///< The group as the host was told.
-    instant checked{};                 ///< The last check left.
-    std::optional<instant> unanswered; ///< When the check that is out left.
-    background_tasks calls;            ///< Die with the session.
+    wire::JobHost::Client host;             ///< What is called.
+    std::vector<agent_address> update_load; ///< The group as the host was told.
+    instant check_sent{};                   ///< The last check left.
+    std::optional<instant>
+        unanswered_since;   ///< When the check that is out left.
+    background_tasks calls; ///< Die with the session.
 
-    explicit session(wire::JobHost::Client of) : host(kj::mv(of)) {}
+    explicit session(wire::JobHost::Client client) : host(kj::mv(client)) {}
 };
 
 host_link::host_link(const clock_source& clock, agent_sessions& agents,
-                     std::function<void(std::function<void()>)> later,
+                     std::function<void(std::function<void()>)> post,
                      std::string host, const host_link_settings& settings)
-    : clock_(clock), agents_(agents), later_(std::move(later)),
+    : clock_(clock), agents_(agents), post_(std::move(post)),
       host_(std::move(host)), settings_(settings)
 {
 }
@@ -38,52 +39,55 @@
 {
     const auto now = clock_.now();
     group_ = group;
-    if (opening_ && now - opening_since_ > settings_.silence)
+    if (is_opening_ && now - opening_started_ > settings_.silence_timeout)
     {
-        opening_ = false;
-        ++number_;
-        avoid_until_ = now + settings_.retry;
+        is_opening_ = false;
+        ++session_number_;
+        retry_at_ = now + settings_.retry_delay;
     }
-    if (!session_ && !opening_ && now >= avoid_until_)
+    if (!session_ && !is_opening_ && now >= retry_at_)
     {
-        const auto number = ++number_;
-        opening_since_ = now;
-        opening_ = agents_.open_host(
+        const auto session_number = ++session_number_;
+        opening_started_ = now;
+        is_opening_ = agents_.open_host(
             host_,
-            [this, alive = alive_, number](wire::JobHost::Client host)
+            [this, alive = alive_, session_number](wire::JobHost::Client host)
             {
                 if (*alive)
-                    opened(number, kj::mv(host));
+                    session_opened(session_number, kj::mv(host));
             });
     }
     if (!session_)
         return;
-    if (session_->unanswered && now - *session_->unanswered > settings_.silence)
-        return lose("silent");
+    if (session_->unanswered_since &&
+        now - *session_->unanswered_since > settings_.silence_timeout)
+        return end_as_lost("silent");
     if (!agents_.is_attached(host_))
-        return lose("link_down");
+        return end_as_lost("link_down");
     // A host without any agent yet is about to get them.
-    constexpr int hurry = 4;
-    const auto wait = load_.by_service.empty() ? interval / hurry : interval;
-    if (!session_->unanswered && now - session_->checked >= wait)
-        check(group);
+    constexpr int initial_check_divisor = 4;
+    const auto wait =
+        load_.by_service.empty() ? interval / initial_check_divisor : interval;
+    if (!session_->unanswered_since && now - session_->check_sent >= wait)
+        send_check(group);
 }
 
-void host_link::opened(std::uint64_t number, wire::JobHost::Client host)
+void host_link::session_opened(std::uint64_t session_number,
+                               wire::JobHost::Client host)
 {
-    if (number != number_)
+    if (session_number != session_number_)
         return; // Given up meanwhile.
-    opening_ = false;
+    is_opening_ = false;
     session_ = std::make_unique<session>(kj::mv(host));
     load_ = {};
     log_change(log_level::info, "job_host_followed", {{"agent", host_}});
-    check(group_);
+    send_check(group_);
 }
 
-void host_link::check(const std::vector<agent_address>& group)
+void host_link::send_check(const std::vector<agent_address>& group)
 {
     auto request = session_->host.checkRequest();
-    if (session_->told != group)
+    if (session_->update_load != group)
     {
         auto out = request.initAgents(static_cast<unsigned>(group.size()));
         for (unsigned i = 0; i < out.size(); ++i)
@@ -91,31 +95,32 @@
             out[i].setName(group[i].name);
             out[i].setWhere(group[i].where.to_string());
         }
-        session_->told = group;
+        session_->update_load = group;
     }
-    session_->checked = clock_.now();
-    session_->unanswered = session_->checked;
+    session_->check_sent = clock_.now();
+    session_->unanswered_since = session_->check_sent;
     session_->calls.add(request.send().then(
-        [this, number = number_](auto&& answer)
+        [this, session_number = session_number_](auto&& answer)
         {
-            if (number != number_ || !session_)
+            if (session_number != session_number_ || !session_)
                 return;
-            session_->unanswered.reset();
-            told(answer.getLoad());
+            session_->unanswered_since.reset();
+            update_load(answer.getLoad());
         },
-        [this, alive = alive_, number = number_](kj::Exception&&)
+        [this, alive = alive_,
+         session_number = session_number_](kj::Exception&&)
         {
             // Not from inside the session's own call.
-            later_(
-                [this, alive, number]
+            post_(
+                [this, alive, session_number]
                 {
-                    if (*alive && number == number_)
-                        lose("session_ended");
+                    if (*alive && session_number == session_number_)
+                        end_as_lost("session_ended");
                 });
         }));
 }
 
-void host_link::told(wire::HostLoad::Reader load)
+void host_link::update_load(wire::HostLoad::Reader load)
 {
     load_.by_service.clear();
     for (auto one : load.getLoads())
@@ -127,21 +132,22 @@
     sent_cores_ = 0;
 }
 
-bool host_link::prompt() const
+bool host_link::is_responsive() const
 {
-    return open() && (!session_->unanswered ||
-                      clock_.now() - *session_->unanswered < settings_.slow);
+    return is_open() &&
+           (!session_->unanswered_since ||
+            clock_.now() - *session_->unanswered_since < settings_.slow_after);
 }
 
-bool host_link::avoided() const
+bool host_link::is_avoided() const
 {
-    return load_.stopping || clock_.now() < avoid_until_;
+    return load_.stopping || clock_.now() < retry_at_;
 }
 
 const placement_load* host_link::load(const std::string& service) const
 {
-    const auto known = load_.by_service.find(service);
-    return known == load_.by_service.end() ? nullptr : &known->second;
+    const auto found = load_.by_service.find(service);
+    return found == load_.by_service.end() ? nullptr : &found->second;
 }
 
 void host_link::submit(const job_definition& job, bool only_with_room,
@@ -153,41 +159,44 @@
     fill(request.initJob(), job, wall_ms);
     request.setOnlyWithRoom(only_with_room);
     sent_cores_ += job.widest_cores();
-    ++stats_.handed;
-    const auto mine = ++submissions_;
-    jobs_[job.id] = {mine, std::move(done)};
+    ++stats_.submitted;
+    const auto request_number = ++submission_count_;
+    jobs_[job.id] = {request_number, std::move(done)};
     session_->calls.add(request.send().then(
-        [this, number = number_, id = job.id, mine](auto&& answer)
+        [this, session_number = session_number_, id = job.id,
+         request_number](auto&& answer)
         {
-            if (number != number_)
+            if (session_number != session_number_)
                 return;
             if (answer.hasLoad())
-                told(answer.getLoad());
-            answered(number, id, mine, from_wire(answer.getAnswer()));
+                update_load(answer.getLoad());
+            handle_reply(session_number, id, request_number,
+                         from_wire(answer.getAnswer()));
         },
-        [this, alive = alive_, number = number_, id = job.id,
-         mine](kj::Exception&&)
+        [this, alive = alive_, session_number = session_number_, id = job.id,
+         request_number](kj::Exception&&)
         {
-            later_(
-                [this, alive, number, id, mine]
+            post_(
+                [this, alive, session_number, id, request_number]
                 {
                     if (*alive)
-                        answered(number, id, mine, std::nullopt);
+                        handle_reply(session_number, id, request_number,
+                                     std::nullopt);
                 });
         }));
 }
 
-void host_link::answered(std::uint64_t number, job_id id,
-                         std::uint64_t submission,
-                         const std::optional<job_reply>& reply)
+void host_link::handle_reply(std::uint64_t session_number, job_id id,
+                             std::uint64_t submission,
+                             const std::optional<job_reply>& reply)
 {
-    const auto known = jobs_.find(id);
-    if (number != number_ || known == jobs_.end() ||
-        known->second.submission != submission)
+    const auto found = jobs_.find(id);
+    if (session_number != session_number_ || found == jobs_.end() ||
+        found->second.submission != submission)
         return; // It came again meanwhile.
     stats_.lost += reply ? 0 : 1;
-    const auto done = std::move(known->second.done);
-    jobs_.erase(known);
+    const auto done = std::move(found->second.done);
+    jobs_.erase(found);
     done(reply);
 }
 
@@ -206,40 +215,40 @@
         return done(std::nullopt);
     auto request = session_->host.cancelRequest();
     request.setJob(id);
-    const auto mine = ++cancel_numbers_;
-    cancels_[mine] = std::move(done);
-    const auto end =
-        [this, alive = alive_, mine](const std::optional<job_reply>& reply)
+    const auto request_number = ++cancel_count_;
+    pending_cancels_[request_number] = std::move(done);
+    const auto end = [this, alive = alive_,
+                      request_number](const std::optional<job_reply>& reply)
     {
         if (!*alive)
             return;
-        auto one = cancels_.extract(mine);
+        auto one = pending_cancels_.extract(request_number);
         if (!one.empty())
             one.mapped()(reply);
     };
     session_->calls.add(request.send().then(
         [end](auto&& answer) { end(from_wire(answer.getAnswer())); },
-        [end, later = later_](kj::Exception&&)
-        { later([end] { end(std::nullopt); }); }));
+        [end, post = post_](kj::Exception&&)
+        { post([end] { end(std::nullopt); }); }));
 }
 
 /// Nothing is known of what the host did: its jobs may have run, and run no
 /// more once it has noticed the same silence or its leases have run out.
-void host_link::lose(std::string_view cause)
+void host_link::end_as_lost(std::string_view cause)
 {
     log_change(log_level::warning, "job_host_lost",
                {{"agent", host_}, {"cause", cause}, {"jobs", jobs_.size()}});
-    avoid_until_ = clock_.now() + settings_.retry;
+    retry_at_ = clock_.now() + settings_.retry_delay;
     withdraw_all();
-    ++number_;
-    later_([old = std::shared_ptr<session>(std::move(session_))]() mutable
-           { old.reset(); });
+    ++session_number_;
+    post_([old = std::shared_ptr<session>(std::move(session_))]() mutable
+          { old.reset(); });
     load_ = {};
     sent_cores_ = 0;
     stats_.lost += jobs_.size();
-    for (auto& [id, open] : std::exchange(jobs_, {}))
-        open.done(std::nullopt);
-    for (auto& [number, done] : std::exchange(cancels_, {}))
+    for (auto& [id, is_open] : std::exchange(jobs_, {}))
+        is_open.done(std::nullopt);
+    for (auto& [session_number, done] : std::exchange(pending_cancels_, {}))
         done(std::nullopt);
 }
 
@@ -251,14 +260,14 @@
     auto request = session_->host.withdrawRequest();
     auto list = request.initJobs(static_cast<unsigned>(jobs_.size()));
     unsigned at = 0;
-    for (const auto& [id, open] : jobs_)
+    for (const auto& [id, is_open] : jobs_)
         list.set(at++, id);
     session_->calls.add(request.send().ignoreResult());
 }
 
 void host_link::close()
 {
-    ++number_;
+    ++session_number_;
     session_.reset();
 }
 
--- a/src/glenhollow/hosting/host_link.hpp
+++ b/src/glenhollow/hosting/host_link.hpp
@@ -19,22 +19,23 @@
 /// Limits of a session with a host.
 struct host_link_settings
 {
-    duration check = milliseconds{200}; ///< Between two checks, with few hosts.
-    duration longest_check = milliseconds{400}; ///< However many there are: a
-                                                ///< host waits 1 s for the
-                                                ///< next one.
-    duration slow = milliseconds{120}; ///< A check without an answer for so
-                                       ///< long: other hosts go first.
-    duration silence =
-        milliseconds{600};              ///< And for so long: the host is lost.
-    duration retry = milliseconds{400}; ///< Until it is asked again.
+    duration send_check =
+        milliseconds{200}; ///< Between two checks, with few hosts.
+    duration max_check_interval = milliseconds{400}; ///< However many there
+                                                     ///< are: a host waits 1 s
+                                                     ///< for the next one.
+    duration slow_after = milliseconds{120}; ///< A check without an answer for
+                                             ///< so long: other hosts go first.
+    duration silence_timeout =
+        milliseconds{600}; ///< And for so long: the host is lost.
+    duration retry_delay = milliseconds{400}; ///< Until it is asked again.
 };
 
 /// Counters of a session.
 struct host_link_stats
 {
-    std::uint64_t handed = 0; ///< Jobs.
-    std::uint64_t lost = 0;   ///< Of these, lost with their host.
+    std::uint64_t submitted = 0; ///< Jobs.
+    std::uint64_t lost = 0;      ///< Of these, lost with their host.
 };
 
 /// What a host knows of its group.
@@ -58,8 +59,8 @@
     /// @param host The agent whose process hosts.
     /// @param settings Limits.
     host_link(const clock_source& clock, agent_sessions& agents,
-              std::function<void(std::function<void()>)> later,
-              std::string host, const host_link_settings& settings);
+              std::function<void(std::function<void()>)> post, std::string host,
+              const host_link_settings& settings);
     ~host_link() noexcept;
 
     /// Opens, checks, and notices silence.
@@ -83,13 +84,13 @@
     void cancel(job_id id, answer_handler done);
 
     /// @return Whether the session is open and the host takes jobs.
-    bool open() const { return session_ != nullptr && !load_.stopping; }
+    bool is_open() const { return session_ != nullptr && !load_.stopping; }
 
     /// @return Whether the host has answered its last check in time.
-    bool prompt() const;
+    bool is_responsive() const;
 
     /// @return Whether it was lost, or stops, and is not to be asked yet.
-    bool avoided() const;
+    bool is_avoided() const;
 
     /// @param service A service.
     /// @return What the host last told of it; null: nothing.
@@ -120,32 +121,34 @@
         answer_handler done;          ///< Told its end.
     };
 
-    void opened(std::uint64_t number, wire::JobHost::Client host);
-    void check(const std::vector<agent_address>& group);
-    void told(wire::HostLoad::Reader load);
-    void answered(std::uint64_t number, job_id id, std::uint64_t submission,
-                  const std::optional<job_reply>& reply);
+    void session_opened(std::uint64_t session_number,
+                        wire::JobHost::Client host);
+    void send_check(const std::vector<agent_address>& group);
+    void update_load(wire::HostLoad::Reader load);
+    void handle_reply(std::uint64_t session_number, job_id id,
+                      std::uint64_t submission,
+                      const std::optional<job_reply>& reply);
     void withdraw_all();
-    void lose(std::string_view cause);
-
-    const clock_source& clock_;                        ///< This entry's.
-    agent_sessions& agents_;                           ///< Links to the agents.
-    std::function<void(std::function<void()>)> later_; ///< Runs work.
-    std::string host_;                                 ///< Its name.
-    host_link_settings settings_;                      ///< Limits.
-    std::vector<agent_address> group_; ///< That the host shall place at.
-    std::unique_ptr<session> session_; ///< While open.
-    std::uint64_t number_ = 0;         ///< Of the session.
-    bool opening_ = false;             ///< The host was asked.
-    instant opening_since_{};          ///< When.
-    instant avoid_until_{};            ///< Not asked before.
-    host_load load_;                   ///< Last told.
-    double sent_cores_ = 0;            ///< Handed since then.
-    std::map<job_id, open_job> jobs_;  ///< Not ended.
-    std::uint64_t submissions_ = 0;    ///< So far.
-    std::map<std::uint64_t, answer_handler> cancels_; ///< Not answered.
-    std::uint64_t cancel_numbers_ = 0;                ///< So far.
-    host_link_stats stats_;                           ///< Counters.
+    void end_as_lost(std::string_view cause);
+
+    const clock_source& clock_;                       ///< This entry's.
+    agent_sessions& agents_;                          ///< Links to the agents.
+    std::function<void(std::function<void()>)> post_; ///< Runs work.
+    std::string host_;                                ///< Its name.
+    host_link_settings settings_;                     ///< Limits.
+    std::vector<agent_address> group_;   ///< That the host shall place at.
+    std::unique_ptr<session> session_;   ///< While open.
+    std::uint64_t session_number_ = 0;   ///< Of the session.
+    bool is_opening_ = false;            ///< The host was asked.
+    instant opening_started_{};          ///< When.
+    instant retry_at_{};                 ///< Not asked before.
+    host_load load_;                     ///< Last told.
+    double sent_cores_ = 0;              ///< Handed since then.
+    std::map<job_id, open_job> jobs_;    ///< Not ended.
+    std::uint64_t submission_count_ = 0; ///< So far.
+    std::map<std::uint64_t, answer_handler> pending_cancels_; ///< Not answered.
+    std::uint64_t cancel_count_ = 0;                          ///< So far.
+    host_link_stats stats_;                                   ///< Counters.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true); ///< Guard.
 };
 
--- a/src/glenhollow/hosting/job_handover.cpp
+++ b/src/glenhollow/hosting/job_handover.cpp
@@ -13,39 +13,40 @@
 
 /// Cores that count as free where none is: a full group still gets its share
 /// of the jobs if all are full.
-constexpr double least_free = 0.05;
+constexpr double min_free_share = 0.05;
 
 /// A group whose work waits so long gets half as many jobs as one with as much
 /// room where none waits; about a third of a short task's slack.
-constexpr double long_wait_ms = 30.0;
+constexpr double half_weight_wait_ms = 30.0;
 
 /// A host that is late with its answer gets this share of its jobs: none,
 /// unless all are late.
-constexpr double late_share = 1e-6;
+constexpr double unresponsive_weight_factor = 1e-6;
 
 /// A label that no sampled group has is believed to be needed again for so
 /// long.
-constexpr duration label_need = seconds{10};
+constexpr duration missing_label_retention = seconds{10};
 
 } // namespace
 
 std::size_t groups_per_entry(const job_handover_settings& settings,
                              std::size_t groups, std::size_t entries)
 {
-    const auto covering =
+    const auto covering_count =
         (settings.entries_per_group * groups + entries - 1) / entries;
-    return std::max(settings.sampled_groups, covering);
+    return std::max(settings.sampled_groups, covering_count);
 }
 
-job_handover::job_handover(surroundings around,
+job_handover::job_handover(dependencies dependencies,
                            const job_handover_settings& settings)
-    : around_(std::move(around)), settings_(settings), ended_(settings.ends)
+    : dependencies_(std::move(dependencies)), settings_(settings),
+      ended_(settings.ends)
 {
 }
 
 job_handover::~job_handover() = default;
 
-bool job_handover::wanted(const entry_census& entries) const
+bool job_handover::should_hand_over(const entry_statistics& entries) const
 {
     switch (settings_.mode)
     {
@@ -56,55 +57,56 @@
     case hosting_mode::automatic:
         break;
     }
-    return entries.strongest <
-           settings_.strong * around_.directory.agents().size();
+    return entries.max_millicores < settings_.strong_entry_millicores *
+                                        dependencies_.directory.agents().size();
 }
 
-void job_handover::tick(const entry_census& entries)
+void job_handover::tick(const entry_statistics& entries)
 {
-    const bool wanted = this->wanted(entries);
-    if (wanted)
-        divide(entries);
+    const bool should_hand_over = this->should_hand_over(entries);
+    if (should_hand_over)
+        update_groups(entries);
     else
-        forget_groups();
-    follow();
-    ended_.forget_old(around_.clock.now());
-    const bool now_active = wanted && hosts() > 0;
+        clear_groups();
+    update_links();
+    ended_.expire(dependencies_.clock.now());
+    const bool now_active = should_hand_over && hosts() > 0;
     if (now_active != active_)
-        log_change(log_level::info, "jobs_handed_over",
+        log_change(log_level::info, "job_handover_changed",
                    {{"active", now_active},
                     {"groups", groups_.size()},
-                    {"strongest_entry", entries.strongest}});
+                    {"max_entry_millicores", entries.max_millicores}});
     active_ = now_active;
 }
 
 /// Agents that are away count as well: all entries know the same names, and
 /// a group's cuts do not move when one of them restarts.
-void job_handover::divide(const entry_census& entries)
+void job_handover::update_groups(const entry_statistics& entries)
 {
-    const auto& directory = around_.directory;
-    if (sample_ && divided_ == directory.revision() &&
-        divided_for_ == entries.count)
+    const auto& directory = dependencies_.directory;
+    if (sample_ && divided_revision_ == directory.revision() &&
+        divided_entry_count_ == entries.count)
         return;
-    divided_ = directory.revision();
-    divided_for_ = entries.count;
+    divided_revision_ = directory.revision();
+    divided_entry_count_ = entries.count;
     std::vector<std::string> names;
     for (const auto& [name, where] : directory.agents())
         names.push_back(name);
-    auto all = divide_agents(std::move(names), settings_.group_agents);
+    auto all_groups =
+        divide_agents(std::move(names), settings_.agents_per_group);
     std::set<std::string> sample;
     groups_.clear();
-    for (const auto index :
-         sample_groups(around_.entry, all.size(),
-                       groups_per_entry(settings_, all.size(), entries.count)))
+    for (const auto index : sample_groups(
+             dependencies_.entry, all_groups.size(),
+             groups_per_entry(settings_, all_groups.size(), entries.count)))
     {
         hosted_group one;
-        for (const auto& agent : all[index].agents)
+        for (const auto& agent : all_groups[index].agents)
         {
             one.agents.push_back({agent, directory.agents().at(agent)});
             sample.insert(agent);
         }
-        one.names = std::move(all[index]);
+        one.names = std::move(all_groups[index]);
         groups_.push_back(std::move(one));
     }
     if (sample_ == sample)
@@ -113,7 +115,7 @@
     ++sample_revision_;
 }
 
-void job_handover::forget_groups()
+void job_handover::clear_groups()
 {
     groups_.clear();
     if (!sample_)
@@ -123,42 +125,43 @@
 }
 
 /// A host that is not chosen any more is followed until its jobs have ended.
-void job_handover::follow()
+void job_handover::update_links()
 {
     for (auto& group : groups_)
     {
-        group.host = choose_host(group.names,
-                                 [this](const std::string& agent)
-                                 {
-                                     const auto link = links_.find(agent);
-                                     return around_.agents.is_attached(agent) &&
-                                            (link == links_.end() ||
-                                             !link->second->avoided());
-                                 });
+        group.host = choose_host(
+            group.names,
+            [this](const std::string& agent)
+            {
+                const auto link = links_.find(agent);
+                return dependencies_.agents.is_attached(agent) &&
+                       (link == links_.end() || !link->second->is_avoided());
+            });
         if (group.host.empty())
             continue;
         auto& link = links_[group.host];
         if (!link)
-            link = std::make_unique<host_link>(around_.clock, around_.agents,
-                                               around_.later, group.host,
-                                               settings_.link);
+            link = std::make_unique<host_link>(
+                dependencies_.clock, dependencies_.agents, dependencies_.post,
+                group.host, settings_.link);
         link->tick(group.agents, check_interval());
     }
     for (auto at = links_.begin(); at != links_.end();)
     {
-        const auto here = at++;
-        auto& link = *here->second;
-        const bool chosen = std::any_of(groups_.begin(), groups_.end(),
-                                        [&here](const hosted_group& group)
-                                        { return group.host == here->first; });
+        const auto run_locally = at++;
+        auto& link = *run_locally->second;
+        const bool chosen =
+            std::any_of(groups_.begin(), groups_.end(),
+                        [&run_locally](const hosted_group& group)
+                        { return group.host == run_locally->first; });
         if (chosen)
             continue;
         // One that stops is followed to its end, or its agent would be avoided
         // for good.
-        if (link.open_jobs() > 0 || link.avoided())
+        if (link.open_jobs() > 0 || link.is_avoided())
             link.tick({}, check_interval());
         else
-            links_.erase(here);
+            links_.erase(run_locally);
     }
 }
 
@@ -168,21 +171,21 @@
 {
     constexpr duration share = milliseconds{12};
     return std::clamp(share * static_cast<duration::rep>(groups_.size()),
-                      settings_.link.check, settings_.link.longest_check);
+                      settings_.link.check, settings_.link.max_check_interval);
 }
 
 std::size_t job_handover::hosts() const
 {
     return static_cast<std::size_t>(
         std::count_if(links_.begin(), links_.end(),
-                      [](const auto& one) { return one.second->open(); }));
+                      [](const auto& one) { return one.second->is_open(); }));
 }
 
 double job_handover::free_cores(const host_link& host,
                                 const job_definition& job) const
 {
     const auto* load = host.load(job.service);
-    if (!host.prompt() || load == nullptr)
+    if (!host.is_responsive() || load == nullptr)
         return 0;
     return std::max(0.0, load->free_cores - host.sent_cores());
 }
@@ -192,13 +195,13 @@
                             const job_definition& job) const
 {
     const auto* load = host.load(job.service);
-    if (!host.open() || load == nullptr || load->ready_cores <= 0)
+    if (!host.is_open() || load == nullptr || load->ready_cores <= 0)
         return 0;
     const double free = free_cores(host, job);
     const double wait_ms = load->waiting_work / load->ready_cores;
-    const double share =
-        (free + least_free * load->ready_cores) / (1 + wait_ms / long_wait_ms);
-    return host.prompt() ? share : share * late_share;
+    const double share = (free + min_free_share * load->ready_cores) /
+                         (1 + wait_ms / half_weight_wait_ms);
+    return host.is_responsive() ? share : share * unresponsive_weight_factor;
 }
 
 bool job_handover::has_label(const hosted_group& group,
@@ -207,93 +210,96 @@
     return label.empty() ||
            std::any_of(group.agents.begin(), group.agents.end(),
                        [this, &label](const agent_address& agent)
-                       { return around_.has_label(agent.name, label); });
+                       { return dependencies_.has_label(agent.name, label); });
 }
 
-job_handover::label_fit job_handover::fit(const hosted_group& group,
-                                          const job_definition& job) const
+job_handover::label_match
+job_handover::match_labels(const hosted_group& group,
+                           const job_definition& job) const
 {
-    auto best = label_fit::suitable;
+    auto best = label_match::all_present;
     for (const auto& step : job.steps)
     {
         if (!has_label(group, step.label))
-            return label_fit::none;
+            return label_match::missing_required;
         if (!has_label(group, step.preferred_label))
-            best = label_fit::far;
+            best = label_match::missing_preferred;
     }
     return best;
 }
 
 bool job_handover::lacks_label() const
 {
-    return label_missed_ && around_.clock.now() - *label_missed_ < label_need;
+    return label_missed_at_ && dependencies_.clock.now() - *label_missed_at_ <
+                                   missing_label_retention;
 }
 
 /// While most hosts are not followed yet, their labels are not known either.
 void job_handover::note_missing_label(const job_definition& job)
 {
-    const bool known = 2 * hosts() >= groups_.size();
-    const auto misses = [this, &job](const hosted_group& group)
-    { return fit(group, job) == label_fit::none; };
-    if (known && std::all_of(groups_.begin(), groups_.end(), misses))
-        label_missed_ = around_.clock.now();
+    const bool found = 2 * hosts() >= groups_.size();
+    const auto misses_label = [this, &job](const hosted_group& group)
+    { return match_labels(group, job) == label_match::missing_required; };
+    if (found && std::all_of(groups_.begin(), groups_.end(), misses_label))
+        label_missed_at_ = dependencies_.clock.now();
 }
 
-host_link* job_handover::choose(const job_definition& job,
-                                const std::string& not_at)
+host_link* job_handover::choose_link(const job_definition& job,
+                                     const std::string& excluded_host)
 {
     std::vector<host_choice> choices;
-    auto best = label_fit::far;
+    auto best = label_match::missing_preferred;
     for (const auto& group : groups_)
     {
         const auto link = links_.find(group.host);
-        if (link == links_.end() || group.host == not_at)
+        if (link == links_.end() || group.host == excluded_host)
             continue;
         const host_choice one{group.host, weight(*link->second, job)};
-        const auto suits = fit(group, job);
-        if (one.weight <= 0 || suits < best)
+        const auto match = match_labels(group, job);
+        if (one.weight <= 0 || match < best)
             continue;
-        if (suits > best)
+        if (match > best)
             choices.clear(); // Groups with all labels go first.
-        best = suits;
+        best = match;
         choices.push_back(one);
     }
     if (choices.empty())
         note_missing_label(job);
-    const auto drawn = draw_host(job.id, choices);
-    return drawn == choices.size() ? nullptr
-                                   : links_.at(choices[drawn].host).get();
+    const auto choice_index = draw_host(job.id, choices);
+    return choice_index == choices.size()
+               ? nullptr
+               : links_.at(choices[choice_index].host).get();
 }
 
 /// @return The host with most room, if that is enough for the whole job.
-host_link* job_handover::roomy(const job_definition& job,
-                               const std::string& not_at)
+host_link* job_handover::link_with_room(const job_definition& job,
+                                        const std::string& excluded_host)
 {
     host_link* best = nullptr;
-    double most = job.widest_cores();
+    double max_free_cores = job.widest_cores();
     for (const auto& group : groups_)
     {
         const auto link = links_.find(group.host);
-        if (link == links_.end() || group.host == not_at ||
-            fit(group, job) != label_fit::suitable)
+        if (link == links_.end() || group.host == excluded_host ||
+            match_labels(group, job) != label_match::all_present)
             continue;
         const double free = free_cores(*link->second, job);
-        if (free < most)
+        if (free < max_free_cores)
             continue;
         best = link->second.get();
-        most = free;
+        max_free_cores = free;
     }
     return best;
 }
 
 bool job_handover::submit(const job_definition& job, job_reply_handler done,
-                          local_submit here)
+                          local_submit run_locally)
 {
-    const auto known = jobs_.find(job.id);
-    if (known != jobs_.end())
+    const auto found = jobs_.find(job.id);
+    if (found != jobs_.end())
     {
         ++stats_.repeated;
-        known->second.done.push_back(std::move(done));
+        found->second.done.push_back(std::move(done));
         return true;
     }
     if (const auto ended = ended_.find(job.id))
@@ -304,35 +310,36 @@
     }
     if (!active_)
         return false;
-    auto* to = choose(job, {});
-    if (to == nullptr)
+    auto* target = choose_link(job, {});
+    if (target == nullptr)
     {
-        ++stats_.no_host;
+        ++stats_.without_host;
         return false;
     }
     handed_job handed;
     handed.job = job;
     handed.done.push_back(std::move(done));
-    handed.here = std::move(here);
-    const bool elsewhere = roomy(job, to->host()) != nullptr;
-    hand(*to, jobs_.emplace(job.id, std::move(handed)).first->second,
-         elsewhere);
+    handed.run_locally = std::move(run_locally);
+    const bool other_has_room = link_with_room(job, target->host()) != nullptr;
+    send(*target, jobs_.emplace(job.id, std::move(handed)).first->second,
+         other_has_room);
     return true;
 }
 
-void job_handover::hand(host_link& to, handed_job& job, bool only_with_room)
+void job_handover::send(host_link& target, handed_job& job, bool only_with_room)
 {
     ++stats_.handed;
-    job.host = to.host();
-    to.submit(job.job, only_with_room, around_.wall_ms(),
-              [this, id = job.job.id](const std::optional<job_reply>& reply)
-              { answered(id, reply); });
+    job.host = target.host();
+    target.submit(job.job, only_with_room, dependencies_.wall_ms(),
+                  [this, id = job.job.id](const std::optional<job_reply>& reply)
+                  { handle_reply(id, reply); });
 }
 
-void job_handover::answered(job_id id, const std::optional<job_reply>& reply)
+void job_handover::handle_reply(job_id id,
+                                const std::optional<job_reply>& reply)
 {
-    const auto known = jobs_.find(id);
-    if (known == jobs_.end())
+    const auto found = jobs_.find(id);
+    if (found == jobs_.end())
         return;
     if (!reply)
     {
@@ -342,41 +349,41 @@
     if (reply->outcome != job_outcome::not_owner)
         return finish(id, *reply);
     // The host has no room, or takes no more jobs, and has done nothing.
-    auto& job = known->second;
-    host_link* to = nullptr;
-    if (job.tries++ < settings_.tries)
-        to = roomy(job.job, job.host);
-    if (to == nullptr && job.tries <= settings_.tries)
-        to = choose(job.job, {});
-    if (to != nullptr)
+    auto& job = found->second;
+    host_link* target = nullptr;
+    if (job.attempts++ < settings_.attempts)
+        target = link_with_room(job.job, job.host);
+    if (target == nullptr && job.attempts <= settings_.attempts)
+        target = choose_link(job.job, {});
+    if (target != nullptr)
     {
-        ++stats_.again;
-        return hand(*to, job, false);
+        ++stats_.reassigned;
+        return send(*target, job, false);
     }
-    ++stats_.no_host;
+    ++stats_.without_host;
     auto moved = std::move(job);
-    jobs_.erase(known);
+    jobs_.erase(found);
     for (auto& done : moved.done)
-        moved.here(moved.job, std::move(done));
+        moved.run_locally(moved.job, std::move(done));
 }
 
 void job_handover::finish(job_id id, const job_reply& reply)
 {
-    const auto known = jobs_.find(id);
-    const auto waiters = std::move(known->second.done);
-    jobs_.erase(known);
+    const auto found = jobs_.find(id);
+    const auto waiters = std::move(found->second.done);
+    jobs_.erase(found);
     if (reply.outcome == job_outcome::done)
-        ended_.note(id, reply.state, around_.clock.now());
+        ended_.record(id, reply.state, dependencies_.clock.now());
     for (const auto& waiter : waiters)
         waiter(reply);
 }
 
 bool job_handover::withdraw(job_id id)
 {
-    const auto known = jobs_.find(id);
-    if (known == jobs_.end())
+    const auto found = jobs_.find(id);
+    if (found == jobs_.end())
         return false;
-    const auto link = links_.find(known->second.host);
+    const auto link = links_.find(found->second.host);
     if (link != links_.end())
         link->second->withdraw(id);
     // Its caller has gone, and whoever else waits for it may ask again.
@@ -386,15 +393,15 @@
 
 bool job_handover::cancel(job_id id, job_reply_handler done)
 {
-    const auto known = jobs_.find(id);
-    if (known == jobs_.end())
+    const auto found = jobs_.find(id);
+    if (found == jobs_.end())
     {
         const auto ended = ended_.find(id);
         if (ended)
             done({job_outcome::done, *ended, {}});
         return ended.has_value();
     }
-    const auto link = links_.find(known->second.host);
+    const auto link = links_.find(found->second.host);
     if (link == links_.end())
         return false;
     link->second->cancel(
@@ -437,9 +444,9 @@
     count("jobs_lost_with_host_total", "Of these, lost with their host",
           stats_.lost);
     count("jobs_handed_again_total", "Of these, to a second host",
-          stats_.again);
+          stats_.reassigned);
     count("jobs_without_host_total", "Jobs for which no host was found",
-          stats_.no_host);
+          stats_.without_host);
     count("jobs_handed_repeated_total",
           "Submissions of a job that hosts have, or had until lately",
           stats_.repeated);
--- a/src/glenhollow/hosting/job_handover.hpp
+++ b/src/glenhollow/hosting/job_handover.hpp
@@ -39,20 +39,21 @@
 struct job_handover_settings
 {
     hosting_mode mode = hosting_mode::automatic; ///< When.
-    std::uint32_t strong = 12;    ///< Thousandths of a core an agent: an entry
-                                  ///< that may use as much for each agent can
-                                  ///< place for all. At 23 (11 agents) one
-                                  ///< placer and hosts served alike; at 7.7
-                                  ///< (65 agents) hosts served 0.04 to 0.11
-                                  ///< more of all worth, at 2.3 (53) 0.4 more.
-    std::size_t group_agents = 7; ///< Agents of one host, about.
+    std::uint32_t strong_entry_millicores =
+        12; ///< Thousandths of a core an agent: an entry
+            ///< that may use as much for each agent can
+            ///< place for all. At 23 (11 agents) one
+            ///< placer and hosts served alike; at 7.7
+            ///< (65 agents) hosts served 0.04 to 0.11
+            ///< more of all worth, at 2.3 (53) 0.4 more.
+    std::size_t agents_per_group = 7;  ///< Agents of one host, about.
     std::size_t sampled_groups = 32;   ///< To whose hosts an entry hands jobs:
                                        ///< enough that one of them mostly has a
                                        ///< preferred label and room.
     std::size_t entries_per_group = 6; ///< That hand jobs to a group, on
                                        ///< average and at least: where entries
                                        ///< are few, each takes more groups.
-    int tries = 2;                     ///< Hosts that are asked for one job.
+    int attempts = 2;                  ///< Hosts that are asked for one job.
     host_link_settings link;           ///< Of the session with each host.
     recent_ends_settings ends;         ///< Of what is remembered of ended jobs.
 };
@@ -60,21 +61,21 @@
 /// Counters of the handing over.
 struct job_handover_stats
 {
-    std::uint64_t handed = 0;   ///< Jobs that hosts took.
-    std::uint64_t lost = 0;     ///< Of these, lost with their host.
-    std::uint64_t again = 0;    ///< Handed to another host, after the first
-                                ///< one, without room, did nothing.
-    std::uint64_t no_host = 0;  ///< Found no host; placed here.
+    std::uint64_t handed = 0;       ///< Jobs that hosts took.
+    std::uint64_t lost = 0;         ///< Of these, lost with their host.
+    std::uint64_t reassigned = 0;   ///< Handed to another host, after the first
+                                    ///< one, without room, did nothing.
+    std::uint64_t without_host = 0; ///< Found no host; placed here.
     std::uint64_t repeated = 0; ///< Submissions of a job that hosts have, or
                                 ///< had until lately.
 };
 
 /// The entries of the deployment, as far as one of them knows.
-struct entry_census
+struct entry_statistics
 {
-    std::size_t count = 1;       ///< With the one that counts.
-    std::uint32_t strongest = 0; ///< Thousandths of a core that the most
-                                 ///< powerful one may use.
+    std::size_t count = 1;            ///< With the one that counts.
+    std::uint32_t max_millicores = 0; ///< Thousandths of a core that the most
+                                      ///< powerful one may use.
 };
 
 /// @param settings Limits.
@@ -92,7 +93,7 @@
 {
 public:
     /// What it needs of its entry; all outlive it.
-    struct surroundings
+    struct dependencies
     {
         std::string entry;                     ///< Name of this entry.
         const clock_source& clock;             ///< This entry's.
@@ -100,7 +101,7 @@
         const agent_directory& directory;      ///< All agents.
         agent_sessions& agents;                ///< Links to some of them.
         std::function<void(std::function<void()>)>
-            later; ///< Runs work after what runs now.
+            post; ///< Runs work after what runs now.
         std::function<bool(const std::string& agent, const std::string& label)>
             has_label; ///< Of an agent's backend server; true for no label.
     };
@@ -111,12 +112,13 @@
 
     /// @param around What it needs.
     /// @param settings Limits.
-    job_handover(surroundings around, const job_handover_settings& settings);
+    job_handover(dependencies dependencies,
+                 const job_handover_settings& settings);
     ~job_handover();
 
     /// Chooses the hosts anew, follows them, and notices silence.
     /// @param entries Known ones.
-    void tick(const entry_census& entries);
+    void tick(const entry_statistics& entries);
 
     /// @return Whether jobs are handed over now.
     bool active() const { return active_; }
@@ -136,7 +138,7 @@
 
     /// @param agent An agent.
     /// @return Whether it is followed as a host, which needs its session.
-    bool follows(const std::string& agent) const
+    bool is_linked_host(const std::string& agent) const
     {
         return links_.contains(agent);
     }
@@ -147,7 +149,7 @@
     /// did nothing.
     /// @return Whether a host was asked; if not, nothing was done.
     bool submit(const job_definition& job, job_reply_handler done,
-                local_submit here);
+                local_submit run_locally);
 
     /// @param id A job whose caller has gone.
     /// @return Whether a host has it.
@@ -195,47 +197,50 @@
         job_definition job;                  ///< As it was taken.
         std::vector<job_reply_handler> done; ///< Told its end.
         std::string host;                    ///< Who has it.
-        int tries = 1;                       ///< Hosts asked.
-        local_submit here;                   ///< Runs it at this entry.
+        int attempts = 1;                    ///< Hosts asked.
+        local_submit run_locally;            ///< Runs it at this entry.
     };
 
-    bool wanted(const entry_census& entries) const;
+    bool should_hand_over(const entry_statistics& entries) const;
     duration check_interval() const;
-    void divide(const entry_census& entries);
-    void forget_groups();
-    void follow();
+    void update_groups(const entry_statistics& entries);
+    void clear_groups();
+    void update_links();
     /// How well a group's labels suit a job.
-    enum class label_fit : std::uint8_t
+    enum class label_match : std::uint8_t
     {
-        none,    ///< No agent has a label that a step needs.
-        far,     ///< None has one that a step prefers.
-        suitable ///< Each label is there.
+        missing_required,  ///< No agent has a label that a step needs.
+        missing_preferred, ///< None has one that a step prefers.
+        all_present        ///< Each label is there.
     };
 
     void note_missing_label(const job_definition& job);
-    label_fit fit(const hosted_group& group, const job_definition& job) const;
+    label_match match_labels(const hosted_group& group,
+                             const job_definition& job) const;
     bool has_label(const hosted_group& group, const std::string& label) const;
-    host_link* choose(const job_definition& job, const std::string& not_at);
+    host_link* choose_link(const job_definition& job,
+                           const std::string& excluded_host);
     double weight(const host_link& host, const job_definition& job) const;
     double free_cores(const host_link& host, const job_definition& job) const;
-    host_link* roomy(const job_definition& job, const std::string& not_at);
-    void hand(host_link& to, handed_job& job, bool only_with_room);
-    void answered(job_id id, const std::optional<job_reply>& reply);
+    host_link* link_with_room(const job_definition& job,
+                              const std::string& excluded_host);
+    void send(host_link& target, handed_job& job, bool only_with_room);
+    void handle_reply(job_id id, const std::optional<job_reply>& reply);
     void finish(job_id id, const job_reply& reply);
 
-    surroundings around_;              ///< Of the entry.
-    job_handover_settings settings_;   ///< Limits.
-    std::uint64_t divided_ = 0;        ///< Revision of the divided directory.
-    std::size_t divided_for_ = 0;      ///< Entries that were known then.
-    std::vector<hosted_group> groups_; ///< Sampled.
+    dependencies dependencies_;          ///< Of the entry.
+    job_handover_settings settings_;     ///< Limits.
+    std::uint64_t divided_revision_ = 0; ///< Revision of the divided directory.
+    std::size_t divided_entry_count_ = 0; ///< Entries that were known then.
+    std::vector<hosted_group> groups_;    ///< Sampled.
     std::optional<std::set<std::string>> sample_; ///< Agents of these.
     std::uint64_t sample_revision_ = 0;           ///< Of these.
     std::map<std::string, std::unique_ptr<host_link>> links_; ///< By host.
     std::map<job_id, handed_job> jobs_;                       ///< At hosts.
-    recent_ends ended_;                   ///< Of jobs that hosts had.
-    std::optional<instant> label_missed_; ///< See lacks_label().
-    bool active_ = false;                 ///< Jobs are handed over.
-    job_handover_stats stats_;            ///< Counters.
+    recent_ends ended_;                      ///< Of jobs that hosts had.
+    std::optional<instant> label_missed_at_; ///< See lacks_label().
+    bool active_ = false;                    ///< Jobs are handed over.
+    job_handover_stats stats_;               ///< Counters.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/hosting/job_host.cpp
+++ b/src/glenhollow/hosting/job_host.cpp
@@ -26,25 +26,26 @@
     return wall_nanoseconds() / 1'000'000;
 }
 
-job_coordinator_settings jobs_of(const job_host_settings& of)
+job_coordinator_settings
+coordinator_settings(const job_host_settings& host_settings)
 {
-    auto settings = for_jobs_in_memory(of.jobs);
-    settings.entry = of.name;
+    auto settings = for_jobs_in_memory(host_settings.jobs);
+    settings.entry = host_settings.name;
     return settings;
 }
 
-agent_sessions_settings agents_of(const job_host_settings& of)
+agent_sessions_settings session_settings(const job_host_settings& host_settings)
 {
-    auto settings = of.agents;
-    settings.entry = of.name;
-    settings.incarnation = of.incarnation;
+    auto settings = host_settings.agents;
+    settings.entry = host_settings.name;
+    settings.incarnation = host_settings.incarnation;
     return settings;
 }
 
-dispatcher_settings dispatch_of(const job_host_settings& of)
+dispatcher_settings dispatch_settings(const job_host_settings& host_settings)
 {
-    auto settings = of.dispatch;
-    settings.seed = of.incarnation;
+    auto settings = host_settings.dispatch;
+    settings.seed = host_settings.incarnation;
     return settings;
 }
 
@@ -53,9 +54,10 @@
 job_host::job_host(boost::asio::io_context& io, const clock_source& clock,
                    row_store& store, const job_host_settings& settings)
     : io_(io), clock_(clock), store_(store), settings_(settings),
-      agents_(io, clock, *this, agents_of(settings)),
-      dispatcher_(clock, agents_, *this, dispatch_of(settings)),
-      jobs_(surroundings(), jobs_of(settings)), ticked_(clock.now())
+      agents_(io, clock, *this, session_settings(settings)),
+      dispatcher_(clock, agents_, *this, dispatch_settings(settings)),
+      jobs_(dependencies(), coordinator_settings(settings)),
+      last_tick_(clock.now())
 {
     dispatcher_.place_only_at([this](const std::string& agent)
                               { return group_.contains(agent); });
@@ -83,38 +85,38 @@
     };
 }
 
-job_coordinator::surroundings job_host::surroundings()
+job_coordinator::dependencies job_host::dependencies()
 {
     return {clock_, wall_milliseconds, store_, dispatcher_, delay()};
 }
 
-void job_host::place_at(const std::vector<agent_address>& agents)
+void job_host::set_group(const std::vector<agent_address>& agents)
 {
-    std::set<std::string> wanted;
+    std::set<std::string> new_group;
     for (const auto& agent : agents)
     {
-        wanted.insert(agent.name);
-        left_.erase(agent.name);
+        new_group.insert(agent.name);
+        departed_.erase(agent.name);
         agents_.add(agent.name, agent.where);
     }
-    if (wanted == group_)
+    if (new_group == group_)
         return;
     for (const auto& agent : group_)
     {
-        if (!wanted.contains(agent))
-            left_.emplace(agent, clock_.now());
+        if (!new_group.contains(agent))
+            departed_.emplace(agent, clock_.now());
     }
-    group_ = std::move(wanted);
+    group_ = std::move(new_group);
     dispatcher_.place_only_at([this](const std::string& agent)
                               { return group_.contains(agent); });
-    log_change(log_level::info, "host_group",
+    log_change(log_level::info, "host_group_changed",
                {{"host", settings_.name}, {"agents", group_.size()}});
     schedule_dispatch();
 }
 
 bool job_host::paused() const
 {
-    return resumed_ || clock_.now() - ticked_ > pause_limit;
+    return resumed_after_pause_ || clock_.now() - last_tick_ > pause_limit;
 }
 
 std::size_t job_host::attached() const
@@ -123,9 +125,9 @@
         std::count_if(group_.begin(), group_.end(),
                       [this](const std::string& agent)
                       {
-                          const auto known = dispatcher_.agents().find(agent);
-                          return known != dispatcher_.agents().end() &&
-                                 known->second.linked();
+                          const auto found = dispatcher_.agents().find(agent);
+                          return found != dispatcher_.agents().end() &&
+                                 found->second.linked();
                       }));
 }
 
@@ -173,17 +175,17 @@
 {
     const auto now = clock_.now();
     // What had come meanwhile is read only after this tick.
-    resumed_ = now - ticked_ > pause_limit;
-    ticked_ = now;
+    resumed_after_pause_ = now - last_tick_ > pause_limit;
+    last_tick_ = now;
     agents_.tick();
-    check_agents();
-    drop_old_agents();
+    expire_silent_agents();
+    remove_departed_agents();
     log_load();
     jobs_.tick();
     schedule_dispatch();
 }
 
-void job_host::check_agents()
+void job_host::expire_silent_agents()
 {
     const auto now = clock_.now();
     for (auto& [agent, silence] : silences_)
@@ -197,27 +199,27 @@
 
 /// Its session is closed first; what ran there is given up only when it has
 /// surely lapsed, as for a silent agent.
-void job_host::drop_old_agents()
+void job_host::remove_departed_agents()
 {
     const auto now = clock_.now();
-    for (auto at = left_.begin(); at != left_.end();)
+    for (auto at = departed_.begin(); at != departed_.end();)
     {
-        const auto here = at++;
-        if (now - here->second < settings_.keep_agent)
+        const auto current = at++;
+        if (now - current->second < settings_.departed_agent_retention)
             continue;
-        const auto silence = silences_.find(here->first);
-        if (agents_.is_attached(here->first))
+        const auto silence = silences_.find(current->first);
+        if (agents_.is_attached(current->first))
         {
-            silences_[here->first] = {now, false};
-            agents_.remove(here->first);
+            silences_[current->first] = {now, false};
+            agents_.remove(current->first);
             continue;
         }
         if (silence != silences_.end() && !silence->second.ended)
             continue;
-        agents_.remove(here->first);
-        dispatcher_.forget(here->first);
-        silences_.erase(here->first);
-        left_.erase(here);
+        agents_.remove(current->first);
+        dispatcher_.forget(current->first);
+        silences_.erase(current->first);
+        departed_.erase(current);
     }
 }
 
@@ -225,9 +227,9 @@
 void job_host::log_load()
 {
     const auto now = clock_.now();
-    if (now - load_logged_ < load_log_interval)
+    if (now - load_logged_at_ < load_log_interval)
         return;
-    load_logged_ = now;
+    load_logged_at_ = now;
     double free_cores = 0;
     double ready_cores = 0;
     for (const auto& [service, load] : dispatcher_.loads())
--- a/src/glenhollow/hosting/job_host.hpp
+++ b/src/glenhollow/hosting/job_host.hpp
@@ -23,15 +23,16 @@
     std::string name;              ///< As agents know it.
     std::uint64_t incarnation = 0; ///< Of this process.
     duration room_gap =
-        milliseconds{20};              ///< Between two reports of room
-                                       ///< alone: ends are told at once, and
-                                       ///< nobody else places at these agents,
-                                       ///< so that its own count is exact.
-    duration keep_agent = seconds{10}; ///< An agent that has left the group may
-                                       ///< still have runs of this host.
-    job_coordinator_settings jobs;     ///< Limits of jobs in memory.
-    dispatcher_settings dispatch;      ///< Limits.
-    agent_sessions_settings agents;    ///< Limits.
+        milliseconds{20}; ///< Between two reports of room
+                          ///< alone: ends are told at once, and
+                          ///< nobody else places at these agents,
+                          ///< so that its own count is exact.
+    duration departed_agent_retention =
+        seconds{10};                ///< An agent that has left the group may
+                                    ///< still have runs of this host.
+    job_coordinator_settings jobs;  ///< Limits of jobs in memory.
+    dispatcher_settings dispatch;   ///< Limits.
+    agent_sessions_settings agents; ///< Limits.
 };
 
 /// Whole jobs in memory at an agent's process: places their tasks at a group of
@@ -51,7 +52,7 @@
 
     /// @param agents The group as entries know it; agents that left it get no
     /// new work from here.
-    void place_at(const std::vector<agent_address>& agents);
+    void set_group(const std::vector<agent_address>& agents);
 
     /// @param job One in memory.
     /// @param done Told its end; `not_owner` where this host takes no more
@@ -151,10 +152,10 @@
         bool ended = false; ///< Its runs are given up.
     };
 
-    job_coordinator::surroundings surroundings();
+    job_coordinator::dependencies dependencies();
     journal_chain::delay delay();
-    void check_agents();
-    void drop_old_agents();
+    void expire_silent_agents();
+    void remove_departed_agents();
     void log_load();
     void schedule_dispatch();
 
@@ -167,13 +168,13 @@
     dispatcher dispatcher_;                         ///< Places tasks.
     job_coordinator jobs_;                          ///< The jobs.
     std::set<std::string> group_;                   ///< Agents to place at.
-    std::map<std::string, instant> left_;           ///< Agents that were.
+    std::map<std::string, instant> departed_;       ///< Agents that were.
     std::map<std::string, agent_silence> silences_; ///< By agent.
-    instant ticked_{};                              ///< Last tick.
-    bool resumed_ = false;     ///< It stood still until then.
-    instant load_logged_{};    ///< Last line on the load.
-    bool dispatching_ = false; ///< A dispatch is on its way.
-    bool refusing_ = false;    ///< Takes no more jobs.
+    instant last_tick_{};                           ///< Last tick.
+    bool resumed_after_pause_ = false; ///< It stood still until then.
+    instant load_logged_at_{};         ///< Last line on the load.
+    bool dispatching_ = false;         ///< A dispatch is on its way.
+    bool refusing_ = false;            ///< Takes no more jobs.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/hosting/job_host_server.cpp
+++ b/src/glenhollow/hosting/job_host_server.cpp
@@ -58,23 +58,23 @@
     {
         const auto job =
             from_wire(context.getParams().getJob(), wall_milliseconds());
-        auto* from = heard();
-        if (const auto good = check_form(job); !good)
+        auto* caller = last_call();
+        if (const auto valid = check_form(job); !valid)
         {
             log_change(
-                log_level::error, "handed_job_unusable",
-                {{"job", to_text(job.id)}, {"cause", good.error().text}});
+                log_level::error, "handed_job_invalid",
+                {{"job", to_text(job.id)}, {"cause", valid.error().text}});
             fill(context.getResults().initAnswer(),
                  job_reply{job_outcome::not_owner, job_state::queued, {}});
             return kj::READY_NOW;
         }
-        if (from == nullptr || server_.host_.paused())
+        if (caller == nullptr || server_.host_.paused())
         {
             // The same job may have come over another session.
-            const bool known = *alive_ && server_.host_.knows(job.id);
+            const bool found = *alive_ && server_.host_.knows(job.id);
             fill(
                 context.getResults().initAnswer(),
-                job_reply{known ? job_outcome::unknown : job_outcome::not_owner,
+                job_reply{found ? job_outcome::unknown : job_outcome::not_owner,
                           job_state::queued,
                           {}});
             return kj::READY_NOW;
@@ -88,7 +88,7 @@
             fill(out.initLoad(), server_.host_);
             return kj::READY_NOW;
         }
-        from->jobs.insert(job.id);
+        caller->jobs.insert(job.id);
         auto paf = kj::newPromiseAndFulfiller<job_reply>();
         auto fulfiller =
             std::make_shared<kj::Own<kj::PromiseFulfiller<job_reply>>>(
@@ -110,19 +110,19 @@
 
     kj::Promise<void> withdraw(WithdrawContext context) override
     {
-        if (heard() == nullptr)
+        if (last_call() == nullptr)
             return kj::READY_NOW;
         for (const auto job : context.getParams().getJobs())
         {
             server_.release(number_, job);
-            server_.withdraw_unwanted(job);
+            server_.withdraw_if_unclaimed(job);
         }
         return kj::READY_NOW;
     }
 
     kj::Promise<void> cancel(CancelContext context) override
     {
-        if (heard() == nullptr)
+        if (last_call() == nullptr)
         {
             fill(context.getResults().initAnswer(), job_reply{});
             return kj::READY_NOW;
@@ -141,8 +141,8 @@
 
     kj::Promise<void> check(CheckContext context) override
     {
-        auto* from = heard();
-        if (from == nullptr)
+        auto* caller = last_call();
+        if (caller == nullptr)
             return KJ_EXCEPTION(DISCONNECTED, "the session has ended");
         std::vector<agent_address> agents;
         for (auto one : context.getParams().getAgents())
@@ -152,9 +152,9 @@
             if (where)
                 agents.push_back({one.getName(), std::move(where.value())});
         }
-        if (!agents.empty() && agents != from->agents)
+        if (!agents.empty() && agents != caller->agents)
         {
-            from->agents = std::move(agents);
+            caller->agents = std::move(agents);
             server_.merge_groups();
         }
         fill(context.getResults().initLoad(), server_.host_);
@@ -163,20 +163,20 @@
 
 private:
     /// @return The session, if it has not ended.
-    session* heard()
+    session* last_call()
     {
-        auto* from = *alive_ ? server_.find(number_) : nullptr;
-        if (from == nullptr)
+        auto* caller = *alive_ ? server_.find(number_) : nullptr;
+        if (caller == nullptr)
             return nullptr;
         const auto now = server_.clock_.now();
         // A call that lay here for long is no sign of life.
-        if (now - from->heard > server_.settings_.silence)
+        if (now - caller->last_call > server_.settings_.silence_timeout)
         {
             server_.end(number_, "silent");
             return nullptr;
         }
-        from->heard = now;
-        return from;
+        caller->last_call = now;
+        return caller;
     }
 
     job_host_server& server_;     ///< Not used after its end.
@@ -199,11 +199,11 @@
 {
     for (auto at = sessions_.begin(); at != sessions_.end();)
     {
-        const auto here = at++;
-        if (here->second.entry == entry)
-            end(here->first, "replaced");
+        const auto current = at++;
+        if (current->second.entry == entry)
+            end(current->first, "replaced");
     }
-    const auto number = ++numbers_;
+    const auto number = ++session_count_;
     sessions_[number] = {entry, clock_.now(), {}, {}};
     log_change(log_level::info, "host_session_opened", {{"entry", entry}});
     return kj::heap<session_server>(*this, number);
@@ -211,40 +211,40 @@
 
 job_host_server::session* job_host_server::find(session_number number)
 {
-    const auto known = sessions_.find(number);
-    return known == sessions_.end() ? nullptr : &known->second;
+    const auto found = sessions_.find(number);
+    return found == sessions_.end() ? nullptr : &found->second;
 }
 
 /// The same job may have come over two sessions: it goes on for the other.
-void job_host_server::withdraw_unwanted(job_id job)
+void job_host_server::withdraw_if_unclaimed(job_id job)
 {
-    const bool wanted = std::any_of(sessions_.begin(), sessions_.end(),
-                                    [job](const auto& one)
-                                    { return one.second.jobs.contains(job); });
-    if (!wanted)
+    const bool claimed = std::any_of(sessions_.begin(), sessions_.end(),
+                                     [job](const auto& one)
+                                     { return one.second.jobs.contains(job); });
+    if (!claimed)
         host_.withdraw(job);
 }
 
 void job_host_server::end(session_number number, std::string_view cause)
 {
-    const auto known = sessions_.find(number);
-    if (known == sessions_.end())
+    const auto found = sessions_.find(number);
+    if (found == sessions_.end())
         return;
-    const auto ended = std::move(known->second);
-    sessions_.erase(known);
+    const auto ended = std::move(found->second);
+    sessions_.erase(found);
     log_change(log_level::info, "host_session_ended",
                {{"entry", ended.entry},
                 {"cause", cause},
                 {"jobs", ended.jobs.size()}});
     for (const auto job : ended.jobs)
-        withdraw_unwanted(job);
+        withdraw_if_unclaimed(job);
     merge_groups();
 }
 
 void job_host_server::release(session_number number, job_id job)
 {
-    if (auto* of = find(number))
-        of->jobs.erase(job);
+    if (auto* open_session = find(number))
+        open_session->jobs.erase(job);
 }
 
 /// Entries may know the group differently for a while: the host places at all
@@ -260,7 +260,7 @@
     std::vector<agent_address> agents;
     for (const auto& [name, where] : all)
         agents.push_back({name, where});
-    host_.place_at(agents);
+    host_.set_group(agents);
 }
 
 void job_host_server::tick()
@@ -269,7 +269,7 @@
     std::vector<session_number> silent;
     for (const auto& [number, one] : sessions_)
     {
-        if (now - one.heard > settings_.silence)
+        if (now - one.last_call > settings_.silence_timeout)
             silent.push_back(number);
     }
     for (const auto number : silent)
--- a/src/glenhollow/hosting/job_host_server.hpp
+++ b/src/glenhollow/hosting/job_host_server.hpp
@@ -17,11 +17,12 @@
 /// Limits of the sessions.
 struct job_host_server_settings
 {
-    duration silence = seconds{1}; ///< An entry that is not heard for so long
-                                   ///< is gone. It notices a cut after 0.6 s or
-                                   ///< more, and its callers may send their
-                                   ///< jobs again 1.3 s after that: by then
-                                   ///< nothing may run here.
+    duration silence_timeout =
+        seconds{1}; ///< An entry that is not heard for so long
+                    ///< is gone. It notices a cut after 0.6 s or
+                    ///< more, and its callers may send their
+                    ///< jobs again 1.3 s after that: by then
+                    ///< nothing may run here.
 };
 
 /// Offers a host to entries: one session each. What an entry has here ends with
@@ -54,7 +55,7 @@
     struct session
     {
         std::string entry;                 ///< Its name.
-        instant heard{};                   ///< Its last call.
+        instant last_call{};               ///< Its last call.
         std::set<job_id> jobs;             ///< That it waits for.
         std::vector<agent_address> agents; ///< The group as it knows it.
     };
@@ -62,14 +63,14 @@
     session* find(session_number number);
     void end(session_number number, std::string_view cause);
     void release(session_number number, job_id job);
-    void withdraw_unwanted(job_id job);
+    void withdraw_if_unclaimed(job_id job);
     void merge_groups();
 
     const clock_source& clock_;                  ///< This process's.
     job_host& host_;                             ///< The jobs.
     job_host_server_settings settings_;          ///< Limits.
     std::map<session_number, session> sessions_; ///< Open.
-    session_number numbers_ = 0;                 ///< Of sessions so far.
+    session_number session_count_ = 0;           ///< Of sessions so far.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true); ///< Guard.
 };
 
--- a/src/glenhollow/hosting/recent_ends.hpp
+++ b/src/glenhollow/hosting/recent_ends.hpp
@@ -16,12 +16,12 @@
 /// Bounds of what is remembered.
 struct recent_ends_settings
 {
-    duration keep = seconds{10}; ///< As long as an entry remembers the ends of
-                                 ///< jobs in memory that it ran itself: a job
-                                 ///< whose answer was lost comes again some
-                                 ///< seconds later.
-    std::size_t most = 20'000; ///< Jobs, the oldest goes first: some 2 MB, and
-                               ///< 2,000 jobs a second for `keep`.
+    duration retention = seconds{10}; ///< As long as an entry remembers the
+                                      ///< ends of jobs in memory that it ran
+                                      ///< itself: a job whose answer was lost
+                                      ///< comes again some seconds later.
+    std::size_t max_jobs = 20'000; ///< Jobs, the oldest goes first: some 2 MB,
+                                   ///< and 2,000 jobs a second for `keep`.
 };
 
 /// How jobs that hosts ran have ended lately, so that one that arrives again at
@@ -38,38 +38,39 @@
     /// @param id A job that has ended.
     /// @param state How.
     /// @param now The time.
-    void note(job_id id, job_state state, instant now)
+    void record(job_id id, job_state state, instant now)
     {
-        forget_old(now);
+        expire(now);
         if (!states_.emplace(id, state).second)
             return;
         order_.emplace_back(now, id);
-        if (order_.size() > settings_.most)
-            forget_first();
+        if (order_.size() > settings_.max_jobs)
+            evict_oldest();
     }
 
     /// @param id A job.
     /// @return How it ended, if it did lately.
     std::optional<job_state> find(job_id id) const
     {
-        const auto known = states_.find(id);
-        if (known == states_.end())
+        const auto found = states_.find(id);
+        if (found == states_.end())
             return std::nullopt;
-        return known->second;
+        return found->second;
     }
 
     /// @param now The time.
-    void forget_old(instant now)
+    void expire(instant now)
     {
-        while (!order_.empty() && now - order_.front().first > settings_.keep)
-            forget_first();
+        while (!order_.empty() &&
+               now - order_.front().first > settings_.retention)
+            evict_oldest();
     }
 
     /// @return Jobs that are remembered.
     std::size_t size() const { return order_.size(); }
 
 private:
-    void forget_first()
+    void evict_oldest()
     {
         states_.erase(order_.front().second);
         order_.pop_front();
--- a/src/glenhollow/membership/membership.cpp
+++ b/src/glenhollow/membership/membership.cpp
@@ -10,25 +10,25 @@
 
 void membership::apply(const std::vector<member>& changes)
 {
-    bool any = false;
+    bool any_changed = false;
     for (const auto& change : changes)
     {
         const auto known = members_.find(change.name);
         if (change.state == member_state::gone)
         {
-            any |= members_.erase(change.name) > 0;
+            any_changed |= members_.erase(change.name) > 0;
             continue;
         }
         if (known != members_.end() && known->second == change)
             continue;
         members_[change.name] = change;
-        any = true;
+        any_changed = true;
     }
-    if (any && changed_)
-        changed_();
+    if (any_changed && changed_handler_)
+        changed_handler_();
 }
 
-void membership::learn(const std::vector<member>& known)
+void membership::add_unknown(const std::vector<member>& known)
 {
     std::vector<member> unknown;
     for (const auto& one : known)
@@ -45,7 +45,7 @@
     return known == members_.end() ? nullptr : &known->second;
 }
 
-std::vector<member> membership::of_role(member_role role) const
+std::vector<member> membership::with_role(member_role role) const
 {
     std::vector<member> found;
     for (const auto& [name, one] : members_)
@@ -80,10 +80,11 @@
 {
 
 /// @return Whether an entry is among the first that a runner's name ranks.
-bool is_chosen(const std::string& entry, const std::string& runner,
-               const std::vector<std::string>& candidates, std::size_t most)
+bool ranks_among_first(const std::string& entry, const std::string& runner,
+                       const std::vector<std::string>& candidates,
+                       std::size_t limit)
 {
-    if (candidates.size() <= most)
+    if (candidates.size() <= limit)
         return true;
     const auto seed = XXH3_64bits(runner.data(), runner.size());
     const auto weight_of = [seed](const std::string& name)
@@ -92,7 +93,7 @@
     const auto better = std::count_if(candidates.begin(), candidates.end(),
                                       [&](const std::string& other)
                                       { return weight_of(other) > own; });
-    return static_cast<std::size_t>(better) < most;
+    return static_cast<std::size_t>(better) < limit;
 }
 
 } // namespace
@@ -123,8 +124,8 @@
                     candidates.push_back(one.name);
             }
         }
-        if (is_chosen(entry, runner.name, candidates,
-                      own ? settings.own_hall : settings.other_halls))
+        if (ranks_among_first(entry, runner.name, candidates,
+                              own ? settings.own_hall : settings.other_halls))
             chosen.push_back(runner);
     }
     return chosen;
--- a/src/glenhollow/membership/membership.hpp
+++ b/src/glenhollow/membership/membership.hpp
@@ -21,7 +21,10 @@
     using changed_handler = std::function<void()>;
 
     /// @param handler Told after each change.
-    void on_changed(changed_handler handler) { changed_ = std::move(handler); }
+    void on_changed(changed_handler handler)
+    {
+        changed_handler_ = std::move(handler);
+    }
 
     /// Takes changes of the list.
     /// @param changes New state of each changed VM.
@@ -29,7 +32,7 @@
 
     /// Takes what a peer knows, for VMs that are unknown here.
     /// @param known The peer's members.
-    void learn(const std::vector<member>& known);
+    void add_unknown(const std::vector<member>& known);
 
     /// @return All VMs that are not gone, by name.
     const member_map& members() const { return members_; }
@@ -40,11 +43,11 @@
 
     /// @param role What they are for.
     /// @return All such VMs.
-    std::vector<member> of_role(member_role role) const;
+    std::vector<member> with_role(member_role role) const;
 
 private:
-    member_map members_;      ///< Not gone.
-    changed_handler changed_; ///< May be empty.
+    member_map members_;              ///< Not gone.
+    changed_handler changed_handler_; ///< May be empty.
 };
 
 /// Orders candidates for a key so that every node, without asking another,
--- a/src/glenhollow/overlay/agent_directory.hpp
+++ b/src/glenhollow/overlay/agent_directory.hpp
@@ -17,12 +17,12 @@
 public:
     /// @param name Of an agent.
     /// @param where Its address; replaces an earlier one.
-    void set(const std::string& name, const host_port& where)
+    void set(const std::string& name, const host_port& address)
     {
-        const auto [known, is_new] = agents_.try_emplace(name, where);
-        if (!is_new && known->second == where)
+        const auto [found, is_new] = agents_.try_emplace(name, address);
+        if (!is_new && found->second == address)
             return;
-        known->second = where;
+        found->second = address;
         ++revision_;
     }
 
--- a/src/glenhollow/overlay/feed_pacing.hpp
+++ b/src/glenhollow/overlay/feed_pacing.hpp
@@ -12,10 +12,10 @@
 /// How often processes read the changes of a table that all of them follow.
 struct feed_pacing_settings
 {
-    duration share = milliseconds{5};  ///< Between two reads of all readers
-                                       ///< together.
-    duration least = milliseconds{20}; ///< Between two reads of one.
-    duration longest = seconds{5};     ///< However many readers there are.
+    duration interval_per_reader = milliseconds{5}; ///< Between two reads of
+                                                    ///< all readers together.
+    duration min_interval = milliseconds{20}; ///< Between two reads of one.
+    duration max_interval = seconds{5}; ///< However many readers there are.
 };
 
 /// Each change of a table answers each reader that waits for one. While rows
@@ -24,11 +24,12 @@
 /// @param settings Limits.
 /// @param readers Processes that follow the table.
 /// @return The least time between two reads of one of them.
-inline duration feed_gap(const feed_pacing_settings& settings,
-                         std::size_t readers)
+inline duration feed_interval(const feed_pacing_settings& settings,
+                              std::size_t readers)
 {
-    return std::clamp(settings.share * static_cast<duration::rep>(readers),
-                      settings.least, settings.longest);
+    return std::clamp(settings.interval_per_reader *
+                          static_cast<duration::rep>(readers),
+                      settings.min_interval, settings.max_interval);
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/overlay/gossip_fanout.hpp
+++ b/src/glenhollow/overlay/gossip_fanout.hpp
@@ -15,8 +15,8 @@
 /// Limits of gossip.
 struct gossip_fanout_settings
 {
-    std::size_t targets = 4;  ///< Peers that are told a new fact at once.
-    std::uint64_t random = 1; ///< Seed of the draws.
+    std::size_t targets = 4; ///< Peers that are told a new fact at once.
+    std::uint64_t seed = 1;  ///< Seed of the draws.
 };
 
 /// Draws the peers that a process tells a fact as soon as it learns it. Each of
@@ -29,7 +29,7 @@
 public:
     /// @param settings Limits.
     explicit gossip_fanout(const gossip_fanout_settings& settings)
-        : settings_(settings), random_(settings.random)
+        : settings_(settings), random_(settings.seed)
     {
     }
 
--- a/src/glenhollow/overlay/session_scope.cpp
+++ b/src/glenhollow/overlay/session_scope.cpp
@@ -19,12 +19,12 @@
                                              instant now)
 {
     const bool every_agent = demand.sample == nullptr || demand.every_agent;
-    const basis rests_on{directory.revision(), demand.sample_revision,
-                         every_agent};
+    const update_inputs inputs{directory.revision(), demand.sample_revision,
+                               every_agent};
     changes out;
-    if (basis_ == rests_on && !lingering_)
+    if (last_inputs_ == inputs && !lingering_)
         return out;
-    basis_ = rests_on;
+    last_inputs_ = inputs;
     open_needed(directory, demand, every_agent, out);
     end_unneeded(directory, demand, every_agent, now, out);
     return out;
@@ -34,16 +34,16 @@
                                 const session_demand& demand, bool every_agent,
                                 changes& out)
 {
-    for (const auto& [agent, where] : directory.agents())
+    for (const auto& [agent, address] : directory.agents())
     {
-        const auto known = sessions_.find(agent);
+        const auto found = sessions_.find(agent);
         const bool moved =
-            known != sessions_.end() && known->second.where != where;
+            found != sessions_.end() && found->second.address != address;
         const bool is_new =
-            known == sessions_.end() && is_needed(agent, demand, every_agent);
+            found == sessions_.end() && is_needed(agent, demand, every_agent);
         if (!moved && !is_new)
             continue;
-        sessions_[agent].where = where;
+        sessions_[agent].address = address;
         out.open.push_back(agent);
     }
 }
@@ -55,8 +55,8 @@
     lingering_ = false;
     for (auto at = sessions_.begin(); at != sessions_.end();)
     {
-        const auto here = at++;
-        auto& [agent, session] = *here;
+        const auto current = at++;
+        auto& [agent, session] = *current;
         const bool gone = !directory.agents().contains(agent);
         if (!gone && is_needed(agent, demand, every_agent))
         {
@@ -72,7 +72,7 @@
             continue;
         }
         out.end.push_back(agent);
-        sessions_.erase(here);
+        sessions_.erase(current);
     }
 }
 
--- a/src/glenhollow/overlay/session_scope.hpp
+++ b/src/glenhollow/overlay/session_scope.hpp
@@ -70,18 +70,18 @@
     /// One session that is kept.
     struct kept_session
     {
-        host_port where;                       ///< Address.
+        host_port address;                     ///< Address.
         std::optional<instant> unneeded_since; ///< Nothing: it is needed.
     };
 
     /// What the last update rested on.
-    struct basis
+    struct update_inputs
     {
         std::uint64_t directory = 0; ///< Its revision.
         std::uint64_t sample = 0;    ///< Its revision.
         bool every_agent = false;    ///< Whether all were needed.
 
-        bool operator==(const basis&) const = default;
+        bool operator==(const update_inputs&) const = default;
     };
 
     void open_needed(const agent_directory& directory,
@@ -93,7 +93,7 @@
 
     session_scope_settings settings_;              ///< Limits.
     std::map<std::string, kept_session> sessions_; ///< By agent.
-    std::optional<basis> basis_;                   ///< Of the last update.
+    std::optional<update_inputs> last_inputs_;     ///< Of the last update.
     bool lingering_ = false; ///< Some session is kept without need.
 };
 
--- a/tests/schedule/simulated_entry.cpp
+++ b/tests/schedule/simulated_entry.cpp
@@ -37,7 +37,7 @@
 
 simulated_entry::~simulated_entry() = default;
 
-job_coordinator::surroundings simulated_entry::surroundings()
+job_coordinator::dependencies simulated_entry::dependencies()
 {
     return {node_.clock(), [this] { return simulated_wall_ms(time_); },
             *watched_, *placing_, node_.delay()};
@@ -62,9 +62,9 @@
     auto jobs = for_jobs_in_memory({});
     jobs.parts = 1;
     jobs.warm_up = milliseconds{500};
-    memory_ = std::make_unique<job_coordinator>(surroundings(), jobs);
-    simulated_seat::surroundings around{
-        surroundings(),
+    memory_ = std::make_unique<job_coordinator>(dependencies(), jobs);
+    simulated_seat::dependencies around{
+        dependencies(),
         [this]
         {
             std::set<std::string> all;
--- a/tests/schedule/simulated_entry.hpp
+++ b/tests/schedule/simulated_entry.hpp
@@ -139,7 +139,7 @@
     std::vector<part_epoch> owned_parts() const;
     std::vector<part_epoch> renewed_parts() const;
     job_coordinator* coordinator_of(part_number part);
-    job_coordinator::surroundings surroundings();
+    job_coordinator::dependencies dependencies();
 
     simulated_time& time_;                          ///< Of the simulation.
     std::size_t number_;                            ///< Its own.
--- a/tests/schedule/simulated_seat.cpp
+++ b/tests/schedule/simulated_seat.cpp
@@ -66,7 +66,7 @@
 {
 }
 
-simulated_seat::simulated_seat(simulated_time& time, surroundings around,
+simulated_seat::simulated_seat(simulated_time& time, dependencies around,
                                std::size_t entry, std::uint64_t incarnation)
     : time_(time), around_(std::move(around)), entry_(entry),
       incarnation_(incarnation)
--- a/tests/schedule/simulated_seat.hpp
+++ b/tests/schedule/simulated_seat.hpp
@@ -71,9 +71,9 @@
 {
 public:
     /// What it needs of its entry.
-    struct surroundings
+    struct dependencies
     {
-        job_coordinator::surroundings jobs;            ///< Of the coordinator.
+        job_coordinator::dependencies jobs;            ///< Of the coordinator.
         std::function<std::set<std::string>()> agents; ///< That may run.
         std::function<void(part_epoch)> gained;        ///< Told.
         std::function<void()> given_up;                ///< Told.
@@ -87,7 +87,7 @@
     /// @param around Outlives it.
     /// @param entry Number of its entry.
     /// @param incarnation Of its entry's process.
-    simulated_seat(simulated_time& time, surroundings around, std::size_t entry,
+    simulated_seat(simulated_time& time, dependencies around, std::size_t entry,
                    std::uint64_t incarnation);
 
     /// @param reachable Whether the store answers.
@@ -123,7 +123,7 @@
     void release();
 
     simulated_time& time_;                   ///< Of the simulation.
-    surroundings around_;                    ///< Of its entry.
+    dependencies around_;                    ///< Of its entry.
     std::size_t entry_;                      ///< Number of its entry.
     std::uint64_t incarnation_;              ///< Of the process.
     part_ownership_settings settings_;       ///< Limits.
--- a/tests/unit/durable/coordinator_world.hpp
+++ b/tests/unit/durable/coordinator_world.hpp
@@ -41,7 +41,7 @@
             placing.reported(name, report(name, runner_phase::draining));
     }
 
-    job_coordinator::surroundings around()
+    job_coordinator::dependencies around()
     {
         return {loop.clock,
                 [this]
--- a/tests/unit/hosting/job_handover_tests.cpp
+++ b/tests/unit/hosting/job_handover_tests.cpp
@@ -50,9 +50,9 @@
 };
 
 /// One entry that hands jobs over.
-struct entry_side
+struct test_entry
 {
-    entry_side(rpc_loop& loop, const std::string& name,
+    test_entry(rpc_loop& loop, const std::string& name,
                const job_handover_settings& settings)
     {
         agent_sessions_settings limits;
@@ -61,7 +61,7 @@
         agents = std::make_unique<agent_sessions>(loop.io(), process_clock(),
                                                   listener, limits);
         handover = std::make_unique<job_handover>(
-            job_handover::surroundings{
+            job_handover::dependencies{
                 name, process_clock(),
                 [] { return wall_nanoseconds() / 1'000'000; }, directory,
                 *agents,
@@ -100,9 +100,9 @@
 };
 
 /// Plays until a condition holds; a deadlock is left to the test's timeout.
-struct hosting_play
+struct hosting_fixture
 {
-    hosting_play()
+    hosting_fixture()
         : links(std::move(
               rpc_listener::create(loop.io(), "127.0.0.1", 0).value()))
     {
@@ -136,11 +136,11 @@
         return out;
     }
 
-    bool submit(entry_side& at, const job_definition& what)
+    bool submit(test_entry& at, const job_definition& what)
     {
         return at.handover->submit(
             what, [this](const job_reply& got) { reply = got; },
-            [this](const job_definition&, job_reply_handler) { ++here; });
+            [this](const job_definition&, job_reply_handler) { ++local_runs; });
     }
 
     wire::JobHost::Client open_host(const std::string& by)
@@ -171,14 +171,14 @@
         }
         entry.tick();
         other.tick();
-        if (at_each_step())
+        if (done_condition())
             return loop.stop();
         run_after(loop.io(), step_time, [this] { step(); });
     }
 
-    void play(std::function<bool()> until)
+    void run_until(std::function<bool()> until)
     {
-        at_each_step = std::move(until);
+        done_condition = std::move(until);
         loop.run(
             [this]
             {
@@ -217,11 +217,11 @@
     std::unique_ptr<job_host> host;
     std::unique_ptr<job_host_server> server;
     std::unique_ptr<run_agent_service> agent;
-    entry_side entry{loop, "entry", {}};
-    entry_side other{loop, "other", {}};
-    std::function<bool()> at_each_step;
+    test_entry entry{loop, "entry", {}};
+    test_entry other{loop, "other", {}};
+    std::function<bool()> done_condition;
     std::optional<job_reply> reply; ///< To the job's caller.
-    int here = 0;                   ///< Jobs that came back to their entry.
+    int local_runs = 0;             ///< Jobs that came back to their entry.
     instant stepped{};
 };
 
@@ -229,172 +229,179 @@
 
 TEST_CASE("a job that is handed over runs at the host's agents, once")
 {
-    hosting_play world;
-    bool taken = false;
-    world.play(
+    hosting_fixture fixture;
+    bool submitted = false;
+    fixture.run_until(
         [&]
         {
-            if (!taken)
-                taken = world.submit(world.entry, hosting_play::job(7));
-            if (!world.runner.running.empty())
-                world.runner.finish(world.runner.running.front(),
-                                    run_outcome::done);
-            return world.reply.has_value();
+            if (!submitted)
+                submitted =
+                    fixture.submit(fixture.entry, hosting_fixture::job(7));
+            if (!fixture.runner.running.empty())
+                fixture.runner.finish(fixture.runner.running.front(),
+                                      run_outcome::done);
+            return fixture.reply.has_value();
         });
-    CHECK(world.reply->outcome == job_outcome::done);
-    CHECK(world.reply->state == job_state::succeeded);
-    CHECK(world.runner.started[7] == 1);
-    CHECK(world.entry.handover->open_jobs() == 0);
-    CHECK(world.host->open_jobs() == 0);
-    CHECK(world.here == 0);
+    CHECK(fixture.reply->outcome == job_outcome::done);
+    CHECK(fixture.reply->state == job_state::succeeded);
+    CHECK(fixture.runner.started[7] == 1);
+    CHECK(fixture.entry.handover->open_jobs() == 0);
+    CHECK(fixture.host->open_jobs() == 0);
+    CHECK(fixture.local_runs == 0);
 }
 
 TEST_CASE("a job that nobody could have admitted comes back and runs nowhere")
 {
-    hosting_play world;
-    auto bad = hosting_play::job(7);
-    bad.steps[0].after = {0};
-    bool taken = false;
-    world.play(
+    hosting_fixture fixture;
+    auto invalid = hosting_fixture::job(7);
+    invalid.steps[0].after = {0};
+    bool submitted = false;
+    fixture.run_until(
         [&]
         {
-            taken = taken || world.submit(world.entry, bad);
-            return world.here == 1 && world.host->open_jobs() == 0;
+            submitted = submitted || fixture.submit(fixture.entry, invalid);
+            return fixture.local_runs == 1 && fixture.host->open_jobs() == 0;
         });
-    CHECK(world.runner.started[7] == 0);
+    CHECK(fixture.runner.started[7] == 0);
 }
 
 TEST_CASE("the same job over two entries runs once at their host")
 {
-    hosting_play world;
+    hosting_fixture fixture;
     bool first = false;
     bool second = false;
-    world.play(
+    fixture.run_until(
         [&]
         {
             if (!first)
-                first = world.submit(world.entry, hosting_play::job(7));
-            if (first && !second && !world.runner.running.empty())
-                second = world.submit(world.other, hosting_play::job(7));
-            if (second && world.other.handover->open_jobs() == 1 &&
-                !world.runner.running.empty())
-                world.runner.finish(world.runner.running.front(),
-                                    run_outcome::done);
-            return second && world.entry.handover->open_jobs() == 0 &&
-                   world.other.handover->open_jobs() == 0;
+                first = fixture.submit(fixture.entry, hosting_fixture::job(7));
+            if (first && !second && !fixture.runner.running.empty())
+                second = fixture.submit(fixture.other, hosting_fixture::job(7));
+            if (second && fixture.other.handover->open_jobs() == 1 &&
+                !fixture.runner.running.empty())
+                fixture.runner.finish(fixture.runner.running.front(),
+                                      run_outcome::done);
+            return second && fixture.entry.handover->open_jobs() == 0 &&
+                   fixture.other.handover->open_jobs() == 0;
         });
-    CHECK(world.reply->state == job_state::succeeded);
-    CHECK(world.runner.started[7] == 1);
+    CHECK(fixture.reply->state == job_state::succeeded);
+    CHECK(fixture.runner.started[7] == 1);
 }
 
 TEST_CASE("a job whose caller leaves is stopped at the host's agents")
 {
-    hosting_play world;
-    bool taken = false;
-    bool left = false;
-    world.play(
+    hosting_fixture fixture;
+    bool submitted = false;
+    bool withdrawn = false;
+    fixture.run_until(
         [&]
         {
-            if (!taken)
-                taken = world.submit(world.entry, hosting_play::job(7));
-            if (!world.runner.running.empty() && !std::exchange(left, true))
-                CHECK(world.entry.handover->withdraw(7));
-            return left && world.runner.running.empty();
+            if (!submitted)
+                submitted =
+                    fixture.submit(fixture.entry, hosting_fixture::job(7));
+            if (!fixture.runner.running.empty() &&
+                !std::exchange(withdrawn, true))
+                CHECK(fixture.entry.handover->withdraw(7));
+            return withdrawn && fixture.runner.running.empty();
         });
-    CHECK(world.entry.handover->open_jobs() == 0);
-    CHECK(world.host->open_jobs() == 0);
+    CHECK(fixture.entry.handover->open_jobs() == 0);
+    CHECK(fixture.host->open_jobs() == 0);
 }
 
 TEST_CASE("a cancelled job is stopped, and its caller is told so")
 {
-    hosting_play world;
-    bool taken = false;
-    bool asked = false;
+    hosting_fixture fixture;
+    bool submitted = false;
+    bool requested = false;
     std::optional<job_reply> cancelled;
-    world.play(
+    fixture.run_until(
         [&]
         {
-            if (!taken)
-                taken = world.submit(world.entry, hosting_play::job(7));
-            if (!world.runner.running.empty() && !std::exchange(asked, true))
-                CHECK(world.entry.handover->cancel(7, [&](const job_reply& got)
-                                                   { cancelled = got; }));
-            return cancelled && world.reply && world.runner.running.empty();
+            if (!submitted)
+                submitted =
+                    fixture.submit(fixture.entry, hosting_fixture::job(7));
+            if (!fixture.runner.running.empty() &&
+                !std::exchange(requested, true))
+                CHECK(fixture.entry.handover->cancel(
+                    7, [&](const job_reply& got) { cancelled = got; }));
+            return cancelled && fixture.reply && fixture.runner.running.empty();
         });
     CHECK(cancelled->state == job_state::cancelled);
-    CHECK(world.reply->outcome == job_outcome::done);
-    CHECK(world.reply->state == job_state::cancelled);
-    CHECK(!world.entry.handover->cancel(8, [](const job_reply&) {}));
+    CHECK(fixture.reply->outcome == job_outcome::done);
+    CHECK(fixture.reply->state == job_state::cancelled);
+    CHECK(!fixture.entry.handover->cancel(8, [](const job_reply&) {}));
 }
 
 TEST_CASE("a job that comes again after its end is answered, not run anew")
 {
-    hosting_play world;
-    bool taken = false;
-    bool again = false;
+    hosting_fixture fixture;
+    bool submitted = false;
+    bool resubmitted = false;
     std::optional<job_reply> cancelled;
-    world.play(
+    fixture.run_until(
         [&]
         {
-            if (!taken)
-                taken = world.submit(world.entry, hosting_play::job(7));
-            if (!world.runner.running.empty())
-                world.runner.finish(world.runner.running.front(),
-                                    run_outcome::done);
-            if (!world.reply || again)
-                return again;
-            world.reply.reset(); // It was lost on its way to the caller.
-            again = world.submit(world.entry, hosting_play::job(7));
-            CHECK(world.entry.handover->cancel(7, [&](const job_reply& got)
-                                               { cancelled = got; }));
+            if (!submitted)
+                submitted =
+                    fixture.submit(fixture.entry, hosting_fixture::job(7));
+            if (!fixture.runner.running.empty())
+                fixture.runner.finish(fixture.runner.running.front(),
+                                      run_outcome::done);
+            if (!fixture.reply || resubmitted)
+                return resubmitted;
+            fixture.reply.reset(); // It was lost on its way to the caller.
+            resubmitted =
+                fixture.submit(fixture.entry, hosting_fixture::job(7));
+            CHECK(fixture.entry.handover->cancel(7, [&](const job_reply& got)
+                                                 { cancelled = got; }));
             return false;
         });
-    REQUIRE(world.reply);
-    CHECK(world.reply->outcome == job_outcome::done);
-    CHECK(world.reply->state == job_state::succeeded);
+    REQUIRE(fixture.reply);
+    CHECK(fixture.reply->outcome == job_outcome::done);
+    CHECK(fixture.reply->state == job_state::succeeded);
     REQUIRE(cancelled);
     CHECK(cancelled->state == job_state::succeeded);
-    CHECK(world.runner.started[7] == 1);
+    CHECK(fixture.runner.started[7] == 1);
 }
 
 TEST_CASE("ends are remembered for a while, and not too many")
 {
     recent_ends_settings settings;
-    settings.most = 2;
+    settings.max_jobs = 2;
     recent_ends ends(settings);
-    ends.note(1, job_state::succeeded, seconds{1});
-    ends.note(2, job_state::failed, seconds{2});
-    ends.note(2, job_state::succeeded, seconds{3}); // The first word counts.
+    ends.record(1, job_state::succeeded, seconds{1});
+    ends.record(2, job_state::failed, seconds{2});
+    ends.record(2, job_state::succeeded, seconds{3}); // The first word counts.
     CHECK(ends.find(1) == job_state::succeeded);
     CHECK(ends.find(2) == job_state::failed);
-    ends.note(3, job_state::cancelled, seconds{4});
+    ends.record(3, job_state::cancelled, seconds{4});
     CHECK(ends.size() == 2);
     CHECK(!ends.find(1));
-    ends.forget_old(seconds{2} + settings.keep);
+    ends.expire(seconds{2} + settings.retention);
     CHECK(ends.find(2));
-    ends.forget_old(seconds{3} + settings.keep);
+    ends.expire(seconds{3} + settings.retention);
     CHECK(!ends.find(2));
     CHECK(ends.find(3));
 }
 
 TEST_CASE("a host without room gives a job back that another has room for")
 {
-    hosting_play world;
-    entry_side asking{world.loop, "asking", {}};
-    const agent_address agent{"agent", {"127.0.0.1", world.links->port()}};
-    host_link link(process_clock(), *asking.agents,
-                   [&world](std::function<void()> work) {
-                       run_after(world.loop.io(), duration{0}, std::move(work));
-                   },
-                   "agent", {});
-    auto large = hosting_play::job(7);
+    hosting_fixture fixture;
+    test_entry asking{fixture.loop, "asking", {}};
+    const agent_address agent{"agent", {"127.0.0.1", fixture.links->port()}};
+    host_link link(
+        process_clock(), *asking.agents,
+        [&fixture](std::function<void()> work)
+        { run_after(fixture.loop.io(), duration{0}, std::move(work)); },
+        "agent", {});
+    auto large = hosting_fixture::job(7);
     large.steps[0].needs.cpu = 3000;
-    auto next = hosting_play::job(8);
+    auto next = hosting_fixture::job(8);
     next.steps[0].needs.cpu = 2000;
     bool filled = false;
-    bool asked = false;
+    bool requested = false;
     std::optional<job_reply> given_back;
-    world.play(
+    fixture.run_until(
         [&]
         {
             asking.agents->add(agent.name, agent.where);
@@ -405,7 +412,8 @@
                 !std::exchange(filled, true))
                 link.submit(large, true, now_ms,
                             [](const std::optional<job_reply>&) {});
-            if (world.runner.started[7] == 1 && !std::exchange(asked, true))
+            if (fixture.runner.started[7] == 1 &&
+                !std::exchange(requested, true))
                 link.submit(next, true, now_ms,
                             [&](const std::optional<job_reply>& reply)
                             { given_back = reply; });
@@ -417,63 +425,67 @@
             return given_back.has_value();
         });
     CHECK(given_back->outcome == job_outcome::not_owner);
-    CHECK(world.runner.started[8] == 0);
+    CHECK(fixture.runner.started[8] == 0);
 }
 
 TEST_CASE("an agent that stopped hosts again once it is back")
 {
-    hosting_play world;
-    bool taken = false;
+    hosting_fixture fixture;
+    bool submitted = false;
     bool stopped = false;
     bool ended = false;
-    world.play(
+    fixture.run_until(
         [&]
         {
-            auto& hands = *world.entry.handover;
-            if (!taken)
-                taken = world.submit(world.entry, hosting_play::job(7));
-            if (!world.runner.running.empty() && !std::exchange(stopped, true))
-                world.host->refuse_new();
-            if (stopped && !ended && !hands.active() &&
-                !world.runner.running.empty())
-                world.runner.finish(world.runner.running.front(),
-                                    run_outcome::done);
-            if (world.reply && !std::exchange(ended, true))
+            auto& handover = *fixture.entry.handover;
+            if (!submitted)
+                submitted =
+                    fixture.submit(fixture.entry, hosting_fixture::job(7));
+            if (!fixture.runner.running.empty() &&
+                !std::exchange(stopped, true))
+                fixture.host->refuse_new();
+            if (stopped && !ended && !handover.active() &&
+                !fixture.runner.running.empty())
+                fixture.runner.finish(fixture.runner.running.front(),
+                                      run_outcome::done);
+            if (fixture.reply && !std::exchange(ended, true))
             {
                 // Its process ends, and the next one hosts.
-                world.host->close();
-                world.server.reset();
-                world.host.reset();
-                world.entry.agents->remove("agent");
-                world.entry.agents->add("agent",
-                                        {"127.0.0.1", world.links->port()});
+                fixture.host->close();
+                fixture.server.reset();
+                fixture.host.reset();
+                fixture.entry.agents->remove("agent");
+                fixture.entry.agents->add("agent",
+                                          {"127.0.0.1", fixture.links->port()});
             }
-            return ended && hands.active();
+            return ended && handover.active();
         });
-    CHECK(world.reply->state == job_state::succeeded);
+    CHECK(fixture.reply->state == job_state::succeeded);
 }
 
 TEST_CASE("a cancel is answered although its host is lost")
 {
-    hosting_play world;
-    bool taken = false;
-    bool asked = false;
+    hosting_fixture fixture;
+    bool submitted = false;
+    bool requested = false;
     std::optional<job_reply> cancelled;
-    world.play(
+    fixture.run_until(
         [&]
         {
-            if (!taken)
-                taken = world.submit(world.entry, hosting_play::job(7));
-            if (!world.runner.running.empty() && !std::exchange(asked, true))
+            if (!submitted)
+                submitted =
+                    fixture.submit(fixture.entry, hosting_fixture::job(7));
+            if (!fixture.runner.running.empty() &&
+                !std::exchange(requested, true))
             {
-                CHECK(world.entry.handover->cancel(7, [&](const job_reply& got)
-                                                   { cancelled = got; }));
-                world.entry.agents->remove("agent");
+                CHECK(fixture.entry.handover->cancel(
+                    7, [&](const job_reply& got) { cancelled = got; }));
+                fixture.entry.agents->remove("agent");
             }
-            return cancelled && world.reply;
+            return cancelled && fixture.reply;
         });
     CHECK(cancelled->outcome == job_outcome::unknown);
-    CHECK(world.reply->outcome == job_outcome::unknown);
+    CHECK(fixture.reply->outcome == job_outcome::unknown);
 }
 
 TEST_CASE("a host tells that it stood still until its next tick")
@@ -499,135 +511,141 @@
 
 TEST_CASE("an entry that keeps its jobs knows those that hosts have")
 {
-    hosting_play world;
-    bool taken = false;
-    world.play(
+    hosting_fixture fixture;
+    bool submitted = false;
+    fixture.run_until(
         [&]
         {
-            if (!taken)
-                taken = world.submit(world.entry, hosting_play::job(7));
-            return !world.runner.running.empty();
+            if (!submitted)
+                submitted =
+                    fixture.submit(fixture.entry, hosting_fixture::job(7));
+            return !fixture.runner.running.empty();
         });
-    CHECK(world.entry.handover->knows(7));
-    CHECK(!world.entry.handover->knows(8));
+    CHECK(fixture.entry.handover->knows(7));
+    CHECK(!fixture.entry.handover->knows(8));
 }
 
 TEST_CASE("what a silent entry handed over is stopped")
 {
-    hosting_play world;
-    bool taken = false;
-    world.play(
+    hosting_fixture fixture;
+    bool submitted = false;
+    fixture.run_until(
         [&]
         {
-            if (!taken)
-                taken = world.submit(world.entry, hosting_play::job(7));
-            if (!world.runner.running.empty())
-                world.entry.frozen = true;
-            return world.entry.frozen && world.runner.running.empty();
+            if (!submitted)
+                submitted =
+                    fixture.submit(fixture.entry, hosting_fixture::job(7));
+            if (!fixture.runner.running.empty())
+                fixture.entry.frozen = true;
+            return fixture.entry.frozen && fixture.runner.running.empty();
         });
-    CHECK(world.host->open_jobs() == 0);
+    CHECK(fixture.host->open_jobs() == 0);
     // It has begun: it is not said that it has not run.
-    CHECK((!world.reply || world.reply->outcome == job_outcome::unknown));
+    CHECK((!fixture.reply || fixture.reply->outcome == job_outcome::unknown));
 }
 
 TEST_CASE("a host that takes no more jobs gives them back, with nothing done")
 {
-    hosting_play world;
-    bool taken = false;
-    world.play(
+    hosting_fixture fixture;
+    bool submitted = false;
+    fixture.run_until(
         [&]
         {
-            if (world.host && world.host->attached() == 1)
-                world.host->refuse_new();
-            if (!taken && world.host && world.host->refusing())
-                taken = world.submit(world.entry, hosting_play::job(7));
-            return world.here == 1 || (world.host && world.host->refusing() &&
-                                       !world.entry.handover->active());
+            if (fixture.host && fixture.host->attached() == 1)
+                fixture.host->refuse_new();
+            if (!submitted && fixture.host && fixture.host->refusing())
+                submitted =
+                    fixture.submit(fixture.entry, hosting_fixture::job(7));
+            return fixture.local_runs == 1 ||
+                   (fixture.host && fixture.host->refusing() &&
+                    !fixture.entry.handover->active());
         });
-    CHECK(world.runner.started[7] == 0);
-    CHECK(world.entry.handover->open_jobs() == 0);
+    CHECK(fixture.runner.started[7] == 0);
+    CHECK(fixture.entry.handover->open_jobs() == 0);
 }
 
 TEST_CASE("of a job that is lost with its host nothing is said to have not run")
 {
-    hosting_play world;
-    bool taken = false;
-    bool cut = false;
-    world.play(
+    hosting_fixture fixture;
+    bool submitted = false;
+    bool disconnected = false;
+    fixture.run_until(
         [&]
         {
-            if (!taken)
-                taken = world.submit(world.entry, hosting_play::job(7));
-            if (!world.runner.running.empty() && !std::exchange(cut, true))
-                world.entry.agents->remove("agent");
-            return world.reply.has_value();
+            if (!submitted)
+                submitted =
+                    fixture.submit(fixture.entry, hosting_fixture::job(7));
+            if (!fixture.runner.running.empty() &&
+                !std::exchange(disconnected, true))
+                fixture.entry.agents->remove("agent");
+            return fixture.reply.has_value();
         });
-    CHECK(world.reply->outcome == job_outcome::unknown);
-    CHECK(world.entry.handover->open_jobs() == 0);
+    CHECK(fixture.reply->outcome == job_outcome::unknown);
+    CHECK(fixture.entry.handover->open_jobs() == 0);
 }
 
 TEST_CASE("a job that no group's labels suit is not handed over")
 {
-    hosting_play world;
-    auto wrong = hosting_play::job(7);
-    wrong.steps[0].label = "missing";
-    auto far = hosting_play::job(8);
-    far.steps[0].preferred_label = "missing";
-    bool taken = false;
-    world.play(
+    hosting_fixture fixture;
+    auto requiring = hosting_fixture::job(7);
+    requiring.steps[0].label = "missing";
+    auto preferring = hosting_fixture::job(8);
+    preferring.steps[0].preferred_label = "missing";
+    bool submitted = false;
+    fixture.run_until(
         [&]
         {
-            if (!taken)
-                taken = world.submit(world.entry, far);
-            return taken;
+            if (!submitted)
+                submitted = fixture.submit(fixture.entry, preferring);
+            return submitted;
         });
-    CHECK(!world.submit(world.entry, wrong));
+    CHECK(!fixture.submit(fixture.entry, requiring));
 }
 
 TEST_CASE("a strong entry, and one that is told so, keeps its jobs")
 {
-    hosting_play world;
+    hosting_fixture fixture;
     job_handover_settings never;
     never.mode = hosting_mode::never;
-    entry_side keeping{world.loop, "keeping", never};
+    test_entry never_entry{fixture.loop, "keeping", never};
     bool hosted = false;
-    world.play(
+    fixture.run_until(
         [&]
         {
-            keeping.tick();
-            hosted = world.entry.handover->active();
+            never_entry.tick();
+            hosted = fixture.entry.handover->active();
             return hosted;
         });
-    CHECK(!keeping.handover->active());
+    CHECK(!never_entry.handover->active());
     // One agent: 12 thousandths of a core are enough.
-    world.entry.handover->tick({1, 12});
-    CHECK(!world.entry.handover->active());
-    world.entry.handover->tick({1, 11});
-    CHECK(world.entry.handover->hosts() <= 1);
+    fixture.entry.handover->tick({1, 12});
+    CHECK(!fixture.entry.handover->active());
+    fixture.entry.handover->tick({1, 11});
+    CHECK(fixture.entry.handover->hosts() <= 1);
 }
 
 TEST_CASE("only a job whose label no sampled group has needs other agents")
 {
-    hosting_play world;
-    auto unlabelled = hosting_play::job(7);
-    auto labelled = hosting_play::job(8);
+    hosting_fixture fixture;
+    auto unlabelled = hosting_fixture::job(7);
+    auto labelled = hosting_fixture::job(8);
     labelled.steps[0].label = "missing";
     // Nobody is attached yet: it is not known who has the label.
-    CHECK(!world.submit(world.entry, labelled));
-    CHECK(!world.entry.handover->lacks_label());
-    bool unneeded = false;
-    world.play(
+    CHECK(!fixture.submit(fixture.entry, labelled));
+    CHECK(!fixture.entry.handover->lacks_label());
+    bool unlabelled_checked = false;
+    fixture.run_until(
         [&]
         {
-            if (!world.entry.handover->active())
+            if (!fixture.entry.handover->active())
                 return false;
-            if (!std::exchange(unneeded, true))
+            if (!std::exchange(unlabelled_checked, true))
             {
-                world.submit(world.entry, unlabelled);
-                CHECK(!world.entry.handover->lacks_label());
+                fixture.submit(fixture.entry, unlabelled);
+                CHECK(!fixture.entry.handover->lacks_label());
             }
-            CHECK(!world.submit(world.entry, labelled));
-            return world.entry.handover->lacks_label();
+            CHECK(!fixture.submit(fixture.entry, labelled));
+            return fixture.entry.handover->lacks_label();
         });
-    CHECK(world.entry.handover->lacks_label());
+    CHECK(fixture.entry.handover->lacks_label());
 }
--- a/tests/unit/membership/membership_tests.cpp
+++ b/tests/unit/membership/membership_tests.cpp
@@ -32,7 +32,7 @@
     REQUIRE_FALSE(members.find("r1"));
     // What a peer knows fills gaps but does not overrule the list.
     auto other = runner("r2", "h9");
-    members.learn({other, runner("r3")});
+    members.add_unknown({other, runner("r3")});
     REQUIRE(members.find("r2")->hall == "h1");
     REQUIRE(members.find("r3"));
 }
@@ -40,12 +40,12 @@
 namespace
 {
 
-std::vector<member> entries_of(std::size_t halls, std::size_t each)
+std::vector<member> entries_of(std::size_t halls, std::size_t count_per_hall)
 {
     std::vector<member> entries;
     for (std::size_t hall = 1; hall <= halls; ++hall)
     {
-        for (std::size_t i = 0; i < each; ++i)
+        for (std::size_t i = 0; i < count_per_hall; ++i)
             entries.push_back(
                 {"e" + std::to_string(hall) + "-" + std::to_string(i),
                  member_role::entry,
@@ -56,12 +56,12 @@
     return entries;
 }
 
-std::vector<member> runners_of(std::size_t halls, std::size_t each)
+std::vector<member> runners_of(std::size_t halls, std::size_t count_per_hall)
 {
     std::vector<member> runners;
     for (std::size_t hall = 1; hall <= halls; ++hall)
     {
-        for (std::size_t i = 0; i < each; ++i)
+        for (std::size_t i = 0; i < count_per_hall; ++i)
             runners.push_back(
                 runner("r" + std::to_string(hall) + "-" + std::to_string(i),
                        "h" + std::to_string(hall)));
@@ -76,13 +76,13 @@
     const auto entries = entries_of(2, 16);
     const auto runners = runners_of(2, 508);
     std::map<std::string, int> links;
-    std::size_t most = 0;
-    std::size_t least = runners.size();
+    std::size_t max_links = 0;
+    std::size_t min_links = runners.size();
     for (const auto& entry : entries)
     {
         const auto chosen = link_subset(entry.name, entries, runners, {});
-        most = std::max(most, chosen.size());
-        least = std::min(least, chosen.size());
+        max_links = std::max(max_links, chosen.size());
+        min_links = std::min(min_links, chosen.size());
         for (const auto& one : chosen)
             ++links[one.name];
     }
@@ -90,8 +90,8 @@
     for (const auto& [name, count] : links)
         REQUIRE(count == 6);
     // 1016 x 6 / 32 is 190.5 on average.
-    REQUIRE(least > 150);
-    REQUIRE(most < 230);
+    REQUIRE(min_links > 150);
+    REQUIRE(max_links < 230);
 }
 
 TEST_CASE("a new entry moves few links of the others")
--- a/tests/unit/overlay/dissemination_tests.cpp
+++ b/tests/unit/overlay/dissemination_tests.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-constexpr duration one_way = milliseconds{5};
+constexpr duration one_way_delay = milliseconds{5};
 
 /// Entries that tell each other one fact: at once by gossip, and by the regular
 /// exchanges with one peer after the other.
@@ -25,7 +25,7 @@
 {
 public:
     explicit gossiping_entries(std::size_t count)
-        : learned_(count), told_(count)
+        : learned_(count), sent_counts_(count)
     {
         for (std::size_t i = 0; i < count; ++i)
             fanouts_.emplace_back(gossip_fanout_settings{4, i + 1});
@@ -42,24 +42,25 @@
         std::erase(others, entry);
         for (const auto peer : fanouts_[entry].draw(others))
         {
-            ++told_[entry];
-            arrivals_.emplace(now + one_way, peer);
+            ++sent_counts_[entry];
+            arrivals_.emplace(now + one_way_delay, peer);
         }
     }
 
     /// @return When the last entry learned what the first one knew at zero.
-    duration spread()
+    duration spread_time()
     {
         const auto peers = learned_.size() - 1;
-        const auto gap = exchange_pacing({}).interval(peers) /
-                         static_cast<duration::rep>(peers);
+        const auto exchange_interval = exchange_pacing({}).interval(peers) /
+                                       static_cast<duration::rep>(peers);
         learn(0, instant{});
         instant now{};
         std::size_t round = 0;
         while (informed_ < learned_.size())
         {
-            const auto regular = gap * static_cast<duration::rep>(round + 1);
-            if (!arrivals_.empty() && arrivals_.begin()->first <= regular)
+            const auto next_exchange =
+                exchange_interval * static_cast<duration::rep>(round + 1);
+            if (!arrivals_.empty() && arrivals_.begin()->first <= next_exchange)
             {
                 const auto [at, entry] = *arrivals_.begin();
                 arrivals_.erase(arrivals_.begin());
@@ -67,15 +68,15 @@
                 learn(entry, now);
                 continue;
             }
-            now = regular;
+            now = next_exchange;
             exchange_all(++round, now);
         }
         return now;
     }
 
-    std::size_t most_told() const
+    std::size_t max_messages_sent() const
     {
-        return *std::max_element(told_.begin(), told_.end());
+        return *std::max_element(sent_counts_.begin(), sent_counts_.end());
     }
 
 private:
@@ -94,7 +95,7 @@
     }
 
     std::vector<bool> learned_;                    ///< By entry.
-    std::vector<std::size_t> told_;                ///< Peers, by gossip.
+    std::vector<std::size_t> sent_counts_;         ///< Peers, by gossip.
     std::vector<gossip_fanout> fanouts_;           ///< By entry.
     std::multimap<instant, std::size_t> arrivals_; ///< On their way.
     std::size_t informed_ = 0;                     ///< Entries.
@@ -127,11 +128,12 @@
     "a fact costs an entry a few messages, however many entries there are")
 {
     // In force everywhere within 2 s where the bounds are narrowest.
-    constexpr duration bound = seconds{1};
+    constexpr duration max_spread_time = seconds{1};
     for (const std::size_t entries : {23, 92, 367, 734})
     {
-        gossiping_entries fleet(entries);
-        CHECK(fleet.spread() <= bound);
-        CHECK(fleet.most_told() <= gossip_fanout_settings{}.targets);
+        gossiping_entries deployment(entries);
+        CHECK(deployment.spread_time() <= max_spread_time);
+        CHECK(deployment.max_messages_sent() <=
+              gossip_fanout_settings{}.targets);
     }
 }
--- a/tests/unit/overlay/feed_pacing_tests.cpp
+++ b/tests/unit/overlay/feed_pacing_tests.cpp
@@ -17,10 +17,10 @@
 {
 
 /// Answers a feed as soon as a row changes, as the platform's store does.
-class feeding_store final : public row_store
+class long_poll_store final : public row_store
 {
 public:
-    explicit feeding_store(manual_loop& loop) : rows_(loop) {}
+    explicit long_poll_store(manual_loop& loop) : rows_(loop) {}
 
     void commit(const row_transaction& change, commit_handler done) override
     {
@@ -65,11 +65,11 @@
 };
 
 /// Counts the calls that readers make while one row after the other changes.
-std::size_t reads_of_burst(std::size_t readers, std::size_t changes,
-                           duration between)
+std::size_t reads_during_burst(std::size_t readers, std::size_t changes,
+                               duration between)
 {
     manual_loop loop;
-    feeding_store store(loop);
+    long_poll_store store(loop);
     std::vector<std::unique_ptr<table_follower>> followers;
     std::vector<std::set<std::string>> rows(readers);
     for (std::size_t i = 0; i < readers; ++i)
@@ -78,7 +78,7 @@
             store, loop.delay(), "members", table_follower_settings{},
             [&rows, i](const stored_row& row)
             { rows[i].insert(row.key.key); }));
-        followers.back()->pace(feed_gap({}, readers));
+        followers.back()->pace(feed_interval({}, readers));
         followers.back()->begin();
     }
     loop.advance(seconds{1});
@@ -88,7 +88,7 @@
         store.put({"members", "", "member-" + std::to_string(i)});
         loop.advance(between);
     }
-    loop.advance(2 * feed_gap({}, readers));
+    loop.advance(2 * feed_interval({}, readers));
     for (const auto& known : rows)
         CHECK(known.size() == changes); // Nobody misses one.
     return store.feeds - before;
@@ -106,7 +106,7 @@
     constexpr double calls_per_s = 200; // Of all readers.
     for (const std::size_t readers : {8, 50, 184})
     {
-        const auto reads = reads_of_burst(readers, changes, between);
+        const auto reads = reads_during_burst(readers, changes, between);
         // The first and the last change may cost each reader one call more.
         CHECK(static_cast<double>(reads) <=
               calls_per_s * spent + 3.0 * static_cast<double>(readers));
@@ -115,8 +115,8 @@
 
 TEST_CASE("few readers hear of a change at once, many within seconds")
 {
-    CHECK(feed_gap({}, 3) == milliseconds{20});
-    CHECK(feed_gap({}, 184) == milliseconds{920});
-    CHECK(feed_gap({}, 734) < seconds{4});
-    CHECK(feed_gap({}, 5000) == seconds{5});
+    CHECK(feed_interval({}, 3) == milliseconds{20});
+    CHECK(feed_interval({}, 184) == milliseconds{920});
+    CHECK(feed_interval({}, 734) < seconds{4});
+    CHECK(feed_interval({}, 5000) == seconds{5});
 }
--- a/tests/unit/overlay/peer_connect_tests.cpp
+++ b/tests/unit/overlay/peer_connect_tests.cpp
@@ -15,17 +15,16 @@
 constexpr duration tick_interval = milliseconds{50};
 
 /// An entry all of whose peers are away: their machines refuse connections.
-struct lonely_entry
+struct isolated_entry
 {
-    explicit lonely_entry(std::size_t count)
+    explicit isolated_entry(std::size_t count)
     {
-        constexpr std::uint16_t nothing_listens = 1;
+        constexpr std::uint16_t closed_port = 1;
         for (std::size_t i = 0; i < count; ++i)
-            peers.add("peer-" + std::to_string(i),
-                      {"127.0.0.1", nothing_listens});
+            peers.add("peer-" + std::to_string(i), {"127.0.0.1", closed_port});
     }
 
-    void play(duration length)
+    void run_for(duration length)
     {
         const auto end = clock.now() + length;
         while (clock.now() < end)
@@ -50,10 +49,10 @@
 {
     constexpr auto length = seconds{10};
     const connect_budget budget;
-    for (const std::size_t away : {23, 92, 367, 734})
+    for (const std::size_t unreachable : {23, 92, 367, 734})
     {
-        lonely_entry entry(away);
-        entry.play(length);
+        isolated_entry entry(unreachable);
+        entry.run_for(length);
         CHECK(static_cast<double>(entry.peers.attempts()) <=
               budget.burst + budget.per_s * 10);
     }
@@ -61,9 +60,9 @@
 
 TEST_CASE("each entry that is away is tried in its turn")
 {
-    constexpr std::size_t away = 367;
-    lonely_entry entry(away);
-    entry.play(seconds{5});
-    for (std::size_t i = 0; i < away; ++i)
+    constexpr std::size_t unreachable = 367;
+    isolated_entry entry(unreachable);
+    entry.run_for(seconds{5});
+    for (std::size_t i = 0; i < unreachable; ++i)
         CHECK(entry.peers.refuses("peer-" + std::to_string(i)));
 }
--- a/tests/unit/overlay/session_scope_tests.cpp
+++ b/tests/unit/overlay/session_scope_tests.cpp
@@ -37,15 +37,15 @@
 using names = std::vector<std::string>;
 
 /// Sessions of one fleet whose entries all hand their jobs over.
-struct sampled_fleet
+struct sampled_deployment
 {
-    sampled_fleet(std::size_t entries, std::size_t agents)
+    sampled_deployment(std::size_t entries, std::size_t agents)
     {
         names all;
         for (std::size_t i = 0; i < agents; ++i)
             all.push_back("agent-" + std::to_string(i));
         const job_handover_settings settings;
-        const auto groups = divide_agents(all, settings.group_agents);
+        const auto groups = divide_agents(all, settings.agents_per_group);
         for (std::size_t i = 0; i < entries; ++i)
         {
             const auto drawn = sample_groups(
@@ -57,14 +57,14 @@
                 sessions += groups[group].agents.size();
                 ++entries_of_group[group];
             }
-            most_sessions = std::max(most_sessions, sessions);
+            max_sessions = std::max(max_sessions, sessions);
         }
         group_count = groups.size();
     }
 
     std::map<std::size_t, std::size_t> entries_of_group;
     std::size_t group_count = 0;
-    std::size_t most_sessions = 0; ///< Of one entry, with agents.
+    std::size_t max_sessions = 0; ///< Of one entry, with agents.
 };
 
 } // namespace
@@ -128,15 +128,15 @@
     // VMs: 125, 500, 2,000 and 4,000, a fifth to a quarter of them entries.
     const std::map<std::size_t, std::size_t> agents_by_entries{
         {23, 102}, {92, 408}, {367, 1633}, {734, 3266}};
-    constexpr std::size_t most_at_entry = 300;
-    constexpr std::size_t most_at_agent = 100;
+    constexpr std::size_t max_at_entry = 300;
+    constexpr std::size_t max_at_agent = 100;
     for (const auto& [entries, agents] : agents_by_entries)
     {
-        const sampled_fleet fleet(entries, agents);
-        CHECK(fleet.most_sessions <= most_at_entry);
-        CHECK(fleet.entries_of_group.size() == fleet.group_count);
-        for (const auto& [group, count] : fleet.entries_of_group)
-            CHECK(count <= most_at_agent);
+        const sampled_deployment deployment(entries, agents);
+        CHECK(deployment.max_sessions <= max_at_entry);
+        CHECK(deployment.entries_of_group.size() == deployment.group_count);
+        for (const auto& [group, count] : deployment.entries_of_group)
+            CHECK(count <= max_at_agent);
     }
 }
 
