--- a/src/glenhollow/hosting/host_groups.cpp
+++ b/src/glenhollow/hosting/host_groups.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// Seeds that keep the orders of agents, hosts and jobs apart.
+/// Hash seeds, one for each independent order.
 constexpr std::uint64_t agent_order_seed = 1;
 constexpr std::uint64_t host_order_seed = 2;
 constexpr std::uint64_t sample_order_seed = 3;
@@ -23,17 +23,16 @@
     return XXH3_64bits_withSeed(name.data(), name.size(), seed);
 }
 
-constexpr double mantissa_range =
-    9007199254740992.0; // 2^53: exact in a double.
+constexpr double mantissa_range = 9007199254740992.0; // 2^53
 
-/// @return A whole number below mantissa_range.
+/// @return The upper 53 bits, which a double represents exactly.
 double mantissa_bits(std::uint64_t bits)
 {
     constexpr unsigned unused_bits = 11;
     return static_cast<double>(bits >> unused_bits);
 }
 
-/// @return A number in (0, 1] that belongs to a job and a host.
+/// @return Number in (0, 1] that depends only on the job and the host.
 double uniform_draw(job_id job, const std::string& host)
 {
     return (mantissa_bits(hash_score(host, job)) + 1) / mantissa_range;
@@ -107,8 +106,8 @@
     {
         if (choices[i].weight <= 0)
             continue;
-        // Times of first events at these rates: each is the shortest as often
-        // as its rate's share of all.
+        // Exponentially distributed times with the weights as rates: the chance
+        // that a host's time is the shortest is its share of the total weight.
         const double time =
             -std::log(uniform_draw(job, choices[i].host)) / choices[i].weight;
         if (best < choices.size() && time >= min_time)
--- a/src/glenhollow/hosting/host_link.cpp
+++ b/src/glenhollow/hosting/host_link.cpp
@@ -9,15 +9,16 @@
 namespace glenhollow
 {
 
-/// An open session.
+/// An open session with the host.
 struct host_link::session
 {
-    wire::JobHost::Client host;             ///< What is called.
-    std::vector<agent_address> update_load; ///< The group as the host was told.
-    instant check_sent{};                   ///< The last check left.
-    std::optional<instant>
-        unanswered_since;   ///< When the check that is out left.
-    background_tasks calls; ///< Die with the session.
+    wire::JobHost::Client host; ///< RPC interface of the host.
+    /// Group that the host was last sent.
+    std::vector<agent_address> sent_group;
+    instant check_sent{}; ///< Time at which the last check was sent.
+    /// Time at which the pending check was sent; empty if none is pending.
+    std::optional<instant> unanswered_since;
+    background_tasks calls; ///< Pending calls; cancelled with the session.
 
     explicit session(wire::JobHost::Client client) : host(kj::mv(client)) {}
 };
@@ -64,7 +65,8 @@
         return end_as_lost("silent");
     if (!agents_.is_attached(host_))
         return end_as_lost("link_down");
-    // A host without any agent yet is about to get them.
+    // A host without any reported load is checked more often, as its agents are
+    // about to attach.
     constexpr int initial_check_divisor = 4;
     const auto wait =
         load_.by_service.empty() ? interval / initial_check_divisor : interval;
@@ -76,7 +78,7 @@
                                wire::JobHost::Client host)
 {
     if (session_number != session_number_)
-        return; // Given up meanwhile.
+        return; // The attempt was given up meanwhile.
     is_opening_ = false;
     session_ = std::make_unique<session>(kj::mv(host));
     load_ = {};
@@ -87,7 +89,7 @@
 void host_link::send_check(const std::vector<agent_address>& group)
 {
     auto request = session_->host.checkRequest();
-    if (session_->update_load != group)
+    if (session_->sent_group != group)
     {
         auto out = request.initAgents(static_cast<unsigned>(group.size()));
         for (unsigned i = 0; i < out.size(); ++i)
@@ -95,7 +97,7 @@
             out[i].setName(group[i].name);
             out[i].setWhere(group[i].where.to_string());
         }
-        session_->update_load = group;
+        session_->sent_group = group;
     }
     session_->check_sent = clock_.now();
     session_->unanswered_since = session_->check_sent;
@@ -110,7 +112,7 @@
         [this, alive = alive_,
          session_number = session_number_](kj::Exception&&)
         {
-            // Not from inside the session's own call.
+            // Queued, since the session must not end inside its own call.
             post_(
                 [this, alive, session_number]
                 {
@@ -193,7 +195,7 @@
     const auto found = jobs_.find(id);
     if (session_number != session_number_ || found == jobs_.end() ||
         found->second.submission != submission)
-        return; // It came again meanwhile.
+        return; // The reply is for an earlier session or submission.
     stats_.lost += reply ? 0 : 1;
     const auto done = std::move(found->second.done);
     jobs_.erase(found);
@@ -222,9 +224,9 @@
     {
         if (!*alive)
             return;
-        auto one = pending_cancels_.extract(request_number);
-        if (!one.empty())
-            one.mapped()(reply);
+        auto handler = pending_cancels_.extract(request_number);
+        if (!handler.empty())
+            handler.mapped()(reply);
     };
     session_->calls.add(request.send().then(
         [end](auto&& answer) { end(from_wire(answer.getAnswer())); },
@@ -232,8 +234,8 @@
         { post([end] { end(std::nullopt); }); }));
 }
 
-/// Nothing is known of what the host did: its jobs may have run, and run no
-/// more once it has noticed the same silence or its leases have run out.
+/// Ends the session and replies to all callers with an unknown result. Jobs may
+/// still run until the host detects the silence or its leases expire.
 void host_link::end_as_lost(std::string_view cause)
 {
     log_change(log_level::warning, "job_host_lost",
@@ -246,13 +248,14 @@
     load_ = {};
     sent_cores_ = 0;
     stats_.lost += jobs_.size();
-    for (auto& [id, is_open] : std::exchange(jobs_, {}))
-        is_open.done(std::nullopt);
-    for (auto& [session_number, done] : std::exchange(pending_cancels_, {}))
+    for (auto& [id, job] : std::exchange(jobs_, {}))
+        job.done(std::nullopt);
+    for (auto& [request_number, done] : std::exchange(pending_cancels_, {}))
         done(std::nullopt);
 }
 
-/// One that is slow, not dead, need not work for callers who were told.
+/// A slow host may still be running; it need not work for callers that have
+/// been answered.
 void host_link::withdraw_all()
 {
     if (!session_ || jobs_.empty())
@@ -260,7 +263,7 @@
     auto request = session_->host.withdrawRequest();
     auto list = request.initJobs(static_cast<unsigned>(jobs_.size()));
     unsigned at = 0;
-    for (const auto& [id, is_open] : jobs_)
+    for (const auto& [id, job] : jobs_)
         list.set(at++, id);
     session_->calls.add(request.send().ignoreResult());
 }
--- a/src/glenhollow/hosting/job_handover.cpp
+++ b/src/glenhollow/hosting/job_handover.cpp
@@ -11,20 +11,18 @@
 namespace
 {
 
-/// Cores that count as free where none is: a full group still gets its share
-/// of the jobs if all are full.
+/// Share of the ready cores that counts as free even if none is, so that full
+/// groups still get jobs when all groups are full.
 constexpr double min_free_share = 0.05;
 
-/// A group whose work waits so long gets half as many jobs as one with as much
-/// room where none waits; about a third of a short task's slack.
+/// Waiting time in ms that halves a host's weight.
 constexpr double half_weight_wait_ms = 30.0;
 
-/// A host that is late with its answer gets this share of its jobs: none,
-/// unless all are late.
+/// Weight factor of a host that is late with its answer; it gets jobs only if
+/// all hosts are late.
 constexpr double unresponsive_weight_factor = 1e-6;
 
-/// A label that no sampled group has is believed to be needed again for so
-/// long.
+/// Time for which a label that no sampled group has counts as needed.
 constexpr duration missing_label_retention = seconds{10};
 
 } // namespace
@@ -79,8 +77,9 @@
     active_ = now_active;
 }
 
-/// Agents that are away count as well: all entries know the same names, and
-/// a group's cuts do not move when one of them restarts.
+/// Divides all agents and samples the groups of this entry. Detached agents are
+/// included, so that all entries get the same groups and the groups do not
+/// change when an agent restarts.
 void job_handover::update_groups(const entry_statistics& entries)
 {
     const auto& directory = dependencies_.directory;
@@ -100,14 +99,14 @@
              dependencies_.entry, all_groups.size(),
              groups_per_entry(settings_, all_groups.size(), entries.count)))
     {
-        hosted_group one;
+        hosted_group group;
         for (const auto& agent : all_groups[index].agents)
         {
-            one.agents.push_back({agent, directory.agents().at(agent)});
+            group.agents.push_back({agent, directory.agents().at(agent)});
             sample.insert(agent);
         }
-        one.names = std::move(all_groups[index]);
-        groups_.push_back(std::move(one));
+        group.names = std::move(all_groups[index]);
+        groups_.push_back(std::move(group));
     }
     if (sample_ == sample)
         return;
@@ -124,7 +123,8 @@
     ++sample_revision_;
 }
 
-/// A host that is not chosen any more is followed until its jobs have ended.
+/// Chooses the host of each group and ticks its link. The link to a host that
+/// is no longer chosen is kept until its jobs have ended.
 void job_handover::update_links()
 {
     for (auto& group : groups_)
@@ -148,30 +148,31 @@
     }
     for (auto at = links_.begin(); at != links_.end();)
     {
-        const auto run_locally = at++;
-        auto& link = *run_locally->second;
-        const bool chosen =
-            std::any_of(groups_.begin(), groups_.end(),
-                        [&run_locally](const hosted_group& group)
-                        { return group.host == run_locally->first; });
+        const auto current = at++;
+        auto& link = *current->second;
+        const bool chosen = std::any_of(groups_.begin(), groups_.end(),
+                                        [&current](const hosted_group& group) {
+                                            return group.host == current->first;
+                                        });
         if (chosen)
             continue;
-        // One that stops is followed to its end, or its agent would be avoided
-        // for good.
+        // A stopping host is ticked until its session ends; otherwise its agent
+        // would be avoided forever.
         if (link.open_jobs() > 0 || link.is_avoided())
             link.tick({}, check_interval());
         else
-            links_.erase(run_locally);
+            links_.erase(current);
     }
 }
 
-/// Many hosts are each checked more rarely: an entry makes at most some 80
-/// checks a second, up to the interval that silence leaves.
+/// Checks are spaced out as the number of hosts grows, to limit their total
+/// rate, up to the interval that the hosts' silence timeout allows.
 duration job_handover::check_interval() const
 {
-    constexpr duration share = milliseconds{12};
-    return std::clamp(share * static_cast<duration::rep>(groups_.size()),
-                      settings_.link.check, settings_.link.max_check_interval);
+    constexpr duration interval_per_group = milliseconds{12};
+    return std::clamp(
+        interval_per_group * static_cast<duration::rep>(groups_.size()),
+        settings_.link.check_interval, settings_.link.max_check_interval);
 }
 
 std::size_t job_handover::hosts() const
@@ -190,7 +191,7 @@
     return std::max(0.0, load->free_cores - host.sent_cores());
 }
 
-/// Jobs go where room is free, and where least waits for it.
+/// Weights hosts by their free cores, reduced by the time that work waits.
 double job_handover::weight(const host_link& host,
                             const job_definition& job) const
 {
@@ -234,13 +235,15 @@
                                    missing_label_retention;
 }
 
-/// While most hosts are not followed yet, their labels are not known either.
+/// Remembers a label that no sampled group has. Labels are known only where
+/// hosts are linked, so nothing is noted until that is at least half of them.
 void job_handover::note_missing_label(const job_definition& job)
 {
-    const bool found = 2 * hosts() >= groups_.size();
+    const bool labels_known = 2 * hosts() >= groups_.size();
     const auto misses_label = [this, &job](const hosted_group& group)
     { return match_labels(group, job) == label_match::missing_required; };
-    if (found && std::all_of(groups_.begin(), groups_.end(), misses_label))
+    if (labels_known &&
+        std::all_of(groups_.begin(), groups_.end(), misses_label))
         label_missed_at_ = dependencies_.clock.now();
 }
 
@@ -254,14 +257,14 @@
         const auto link = links_.find(group.host);
         if (link == links_.end() || group.host == excluded_host)
             continue;
-        const host_choice one{group.host, weight(*link->second, job)};
+        const host_choice choice{group.host, weight(*link->second, job)};
         const auto match = match_labels(group, job);
-        if (one.weight <= 0 || match < best)
+        if (choice.weight <= 0 || match < best)
             continue;
         if (match > best)
-            choices.clear(); // Groups with all labels go first.
+            choices.clear(); // Better label matches take precedence.
         best = match;
-        choices.push_back(one);
+        choices.push_back(choice);
     }
     if (choices.empty())
         note_missing_label(job);
@@ -271,7 +274,8 @@
                : links_.at(choices[choice_index].host).get();
 }
 
-/// @return The host with most room, if that is enough for the whole job.
+/// @return The host with the most free cores, if they suffice for the whole
+/// job; null otherwise.
 host_link* job_handover::link_with_room(const job_definition& job,
                                         const std::string& excluded_host)
 {
@@ -348,12 +352,12 @@
     }
     if (reply->outcome != job_outcome::not_owner)
         return finish(id, *reply);
-    // The host has no room, or takes no more jobs, and has done nothing.
+    // The host has no room or takes no more jobs; it has done nothing.
     auto& job = found->second;
     host_link* target = nullptr;
-    if (job.attempts++ < settings_.attempts)
+    if (job.attempts++ < settings_.max_hosts_per_job)
         target = link_with_room(job.job, job.host);
-    if (target == nullptr && job.attempts <= settings_.attempts)
+    if (target == nullptr && job.attempts <= settings_.max_hosts_per_job)
         target = choose_link(job.job, {});
     if (target != nullptr)
     {
@@ -386,7 +390,7 @@
     const auto link = links_.find(found->second.host);
     if (link != links_.end())
         link->second->withdraw(id);
-    // Its caller has gone, and whoever else waits for it may ask again.
+    // The caller has left; any other waiter may resubmit the job.
     finish(id, {job_outcome::unknown, job_state::queued, {}});
     return true;
 }
@@ -440,19 +444,19 @@
     const auto count = [&page](std::string_view name, std::string_view help,
                                std::uint64_t value)
     { page.counter(name, help, static_cast<double>(value)); };
-    count("jobs_handed_over_total", "Jobs handed to hosts", stats_.handed);
-    count("jobs_lost_with_host_total", "Of these, lost with their host",
-          stats_.lost);
-    count("jobs_handed_again_total", "Of these, to a second host",
+    count("jobs_handed_over_total", "Jobs handed to hosts, resends included",
+          stats_.handed);
+    count("jobs_lost_with_host_total", "Jobs whose host was lost", stats_.lost);
+    count("jobs_handed_again_total", "Jobs handed to a second host",
           stats_.reassigned);
     count("jobs_without_host_total", "Jobs for which no host was found",
           stats_.without_host);
     count("jobs_handed_repeated_total",
-          "Submissions of a job that hosts have, or had until lately",
+          "Submissions of a job that is at a host or ended there recently",
           stats_.repeated);
     page.gauge("job_hosts", "Hosts with an open session",
                static_cast<double>(hosts()));
-    page.gauge("jobs_at_hosts", "Jobs that hosts have",
+    page.gauge("jobs_at_hosts", "Jobs at hosts",
                static_cast<double>(jobs_.size()));
 }
 
--- a/src/glenhollow/hosting/job_handover.hpp
+++ b/src/glenhollow/hosting/job_handover.hpp
@@ -20,12 +20,13 @@
 namespace glenhollow
 {
 
-/// When jobs in memory are handed over to agents' processes.
+/// Whether entries hand jobs in memory over to agent processes.
 enum class hosting_mode : std::uint8_t
 {
-    automatic, ///< Where no entry has the power to place for all.
-    always,    ///< Wherever hosts are there.
-    never      ///< Entries place.
+    /// Jobs are handed over while no entry has enough CPU to place all jobs.
+    automatic,
+    always, ///< Jobs are handed over whenever a host is available.
+    never   ///< Entries place all jobs themselves.
 };
 
 template <>
@@ -35,170 +36,179 @@
                                                            "always", "never"};
 };
 
-/// Limits of the handing over.
+/// Settings of the job handover.
 struct job_handover_settings
 {
-    hosting_mode mode = hosting_mode::automatic; ///< When.
-    std::uint32_t strong_entry_millicores =
-        12; ///< Thousandths of a core an agent: an entry
-            ///< that may use as much for each agent can
-            ///< place for all. At 23 (11 agents) one
-            ///< placer and hosts served alike; at 7.7
-            ///< (65 agents) hosts served 0.04 to 0.11
-            ///< more of all worth, at 2.3 (53) 0.4 more.
-    std::size_t agents_per_group = 7;  ///< Agents of one host, about.
-    std::size_t sampled_groups = 32;   ///< To whose hosts an entry hands jobs:
-                                       ///< enough that one of them mostly has a
-                                       ///< preferred label and room.
-    std::size_t entries_per_group = 6; ///< That hand jobs to a group, on
-                                       ///< average and at least: where entries
-                                       ///< are few, each takes more groups.
-    int attempts = 2;                  ///< Hosts that are asked for one job.
-    host_link_settings link;           ///< Of the session with each host.
-    recent_ends_settings ends;         ///< Of what is remembered of ended jobs.
+    hosting_mode mode = hosting_mode::automatic;
+    /// Millicores per agent that an entry needs to place for all agents itself.
+    /// In automatic mode jobs are handed over while no entry has as much.
+    std::uint32_t strong_entry_millicores = 12;
+    std::size_t agents_per_group = 7; ///< Target number of agents per host.
+    /// Minimum number of groups to which an entry hands jobs; large enough that
+    /// one of them usually has a preferred label and free cores.
+    std::size_t sampled_groups = 32;
+    /// Minimum average number of entries per group. With few entries, each of
+    /// them samples more groups.
+    std::size_t entries_per_group = 6;
+    /// Maximum number of hosts that are asked to take one job.
+    int max_hosts_per_job = 2;
+    host_link_settings link;   ///< Settings of the link to each host.
+    recent_ends_settings ends; ///< Limits of the record of ended jobs.
 };
 
-/// Counters of the handing over.
+/// Counters of the job handover.
 struct job_handover_stats
 {
-    std::uint64_t handed = 0;       ///< Jobs that hosts took.
-    std::uint64_t lost = 0;         ///< Of these, lost with their host.
-    std::uint64_t reassigned = 0;   ///< Handed to another host, after the first
-                                    ///< one, without room, did nothing.
-    std::uint64_t without_host = 0; ///< Found no host; placed here.
-    std::uint64_t repeated = 0; ///< Submissions of a job that hosts have, or
-                                ///< had until lately.
+    std::uint64_t handed = 0; ///< Jobs sent to hosts, resends included.
+    std::uint64_t lost = 0;   ///< Jobs whose host was lost.
+    /// Jobs sent to a second host after the first returned them.
+    std::uint64_t reassigned = 0;
+    /// Jobs that no host took; they are placed locally.
+    std::uint64_t without_host = 0;
+    /// Submissions of a job that is at a host or ended there recently.
+    std::uint64_t repeated = 0;
 };
 
-/// The entries of the deployment, as far as one of them knows.
+/// Summary of the entries that one entry knows.
 struct entry_statistics
 {
-    std::size_t count = 1;            ///< With the one that counts.
-    std::uint32_t max_millicores = 0; ///< Thousandths of a core that the most
-                                      ///< powerful one may use.
+    std::size_t count = 1; ///< Number of entries, including this one.
+    /// CPU limit of the largest entry, in thousandths of a core.
+    std::uint32_t max_millicores = 0;
 };
 
-/// @param settings Limits.
-/// @param groups Of all agents.
-/// @param entries That hand jobs over.
-/// @return To how many groups each of them does.
+/// Calculates the number of groups to which one entry hands jobs.
+/// @param settings Settings of the handover.
+/// @param groups Number of groups of all agents.
+/// @param entries Number of entries that hand jobs over.
+/// @return Number of groups to sample.
 std::size_t groups_per_entry(const job_handover_settings& settings,
                              std::size_t groups, std::size_t entries);
 
-/// Hands whole jobs in memory over to hosts: the agents are divided into
-/// groups, and one agent's process of each places for it. What a job costs its
-/// entry is then two messages, however many tasks it has. Runs inside an
-/// rpc_loop.
+/// Hands whole jobs in memory over to job hosts. The agents are divided into
+/// groups, and the process of one agent per group places tasks for it. A job
+/// then costs its entry two messages, whatever its number of tasks. Runs inside
+/// an rpc_loop.
 class job_handover final
 {
 public:
-    /// What it needs of its entry; all outlive it.
+    /// Services of the entry that the handover uses; all must outlive it.
     struct dependencies
     {
-        std::string entry;                     ///< Name of this entry.
-        const clock_source& clock;             ///< This entry's.
-        std::function<std::int64_t()> wall_ms; ///< Ms since 1970.
-        const agent_directory& directory;      ///< All agents.
-        agent_sessions& agents;                ///< Links to some of them.
-        std::function<void(std::function<void()>)>
-            post; ///< Runs work after what runs now.
+        std::string entry; ///< Name of this entry.
+        const clock_source& clock;
+        /// Returns the wall-clock time, ms since the Unix epoch.
+        std::function<std::int64_t()> wall_ms;
+        const agent_directory& directory; ///< Addresses of all agents.
+        agent_sessions& agents;           ///< Sessions with some of the agents.
+        /// Queues work to run after the current handler returns.
+        std::function<void(std::function<void()>)> post;
+        /// Whether the agent's backend server has the label; true for an empty
+        /// label.
         std::function<bool(const std::string& agent, const std::string& label)>
-            has_label; ///< Of an agent's backend server; true for no label.
+            has_label;
     };
 
     /// Runs a job at this entry.
     using local_submit =
         std::function<void(const job_definition&, job_reply_handler)>;
 
-    /// @param around What it needs.
-    /// @param settings Limits.
+    /// @param dependencies Services of the entry.
+    /// @param settings Settings of the handover.
     job_handover(dependencies dependencies,
                  const job_handover_settings& settings);
     ~job_handover();
 
-    /// Chooses the hosts anew, follows them, and notices silence.
-    /// @param entries Known ones.
+    /// Updates the groups and their hosts, sends due checks and detects lost
+    /// hosts.
+    /// @param entries Summary of the known entries.
     void tick(const entry_statistics& entries);
 
-    /// @return Whether jobs are handed over now.
+    /// @return Whether jobs are currently handed over.
     bool active() const { return active_; }
 
-    /// @return The agents of the sampled groups, with which sessions are
-    /// needed; null where jobs are not handed over.
+    /// @return Agents of the sampled groups, which need a session with this
+    /// entry; null while jobs are not handed over.
     const std::set<std::string>* sampled_agents() const
     {
         return sample_ ? &*sample_ : nullptr;
     }
 
-    /// @return A number that rises when those agents change.
+    /// @return Revision of the sampled agents; increases with each change.
     std::uint64_t sample_revision() const { return sample_revision_; }
 
-    /// @return Whether a job lately needed a label that no sampled group has.
+    /// @return Whether a recent job needed a label that no sampled group has.
     bool lacks_label() const;
 
-    /// @param agent An agent.
-    /// @return Whether it is followed as a host, which needs its session.
+    /// @param agent Name of the agent.
+    /// @return Whether a link to the agent as a host exists, which needs its
+    /// session.
     bool is_linked_host(const std::string& agent) const
     {
         return links_.contains(agent);
     }
 
-    /// @param job One in memory.
-    /// @param done Told its end, once, if it was taken.
-    /// @param here Runs the job at this entry where every host that was asked
-    /// did nothing.
-    /// @return Whether a host was asked; if not, nothing was done.
+    /// Hands a job to a host. A job that is at a host already, or ended there
+    /// recently, is not sent again.
+    /// @param job Job in memory.
+    /// @param done Called once with the reply, if the result is true.
+    /// @param run_locally Runs the job at this entry if every host that was
+    /// asked returned it.
+    /// @return Whether the job was taken; if false, nothing was done.
     bool submit(const job_definition& job, job_reply_handler done,
                 local_submit run_locally);
 
-    /// @param id A job whose caller has gone.
-    /// @return Whether a host has it.
+    /// Withdraws a job whose caller has left.
+    /// @param id The job.
+    /// @return Whether the job was at a host.
     bool withdraw(job_id id);
 
-    /// @param id A job.
-    /// @param done Told the end, if a host has it.
-    /// @return Whether a host has it.
+    /// Cancels a job that is at a host, or reports its end if it ended there.
+    /// @param id The job.
+    /// @param done Called with the reply, if the result is true.
+    /// @return Whether the job is at a host or ended there recently.
     bool cancel(job_id id, job_reply_handler done);
 
-    /// @param id A job.
-    /// @return Whether a host has it, or had it until lately.
+    /// @param id The job.
+    /// @return Whether the job is at a host or ended there recently.
     bool knows(job_id id) const
     {
         return jobs_.contains(id) || ended_.find(id).has_value();
     }
 
-    /// Answers for all jobs at once.
+    /// Withdraws all jobs and replies to their callers with an unknown outcome.
     void give_up_all();
 
-    /// Ends all sessions, while the event loop lives.
+    /// Ends all sessions. Call it while the event loop still exists.
     void close();
 
-    /// @return Jobs that hosts have.
+    /// @return Number of jobs at hosts.
     std::size_t open_jobs() const { return jobs_.size(); }
 
-    /// @return Hosts with an open session.
+    /// @return Number of hosts with an open session.
     std::size_t hosts() const;
 
-    /// @param page Gets the metrics.
+    /// @param page Receives the metrics.
     void collect(metric_page& page) const;
 
 private:
-    /// A group and who hosts it.
+    /// A sampled group and its host.
     struct hosted_group
     {
-        std::vector<agent_address> agents; ///< Its agents.
-        host_group names;                  ///< The same.
-        std::string host;                  ///< Chosen; empty: none.
+        /// Names and addresses of the agents.
+        std::vector<agent_address> agents;
+        host_group names; ///< Names of the agents.
+        std::string host; ///< Name of the chosen host; empty if there is none.
     };
 
     /// A job at a host.
     struct handed_job
     {
-        job_definition job;                  ///< As it was taken.
-        std::vector<job_reply_handler> done; ///< Told its end.
-        std::string host;                    ///< Who has it.
-        int attempts = 1;                    ///< Hosts asked.
-        local_submit run_locally;            ///< Runs it at this entry.
+        job_definition job;
+        std::vector<job_reply_handler> done; ///< Receive the reply.
+        std::string host;                    ///< Name of the host.
+        int attempts = 1;                    ///< Number of hosts asked so far.
+        local_submit run_locally;            ///< Runs the job at this entry.
     };
 
     bool should_hand_over(const entry_statistics& entries) const;
@@ -206,12 +216,13 @@
     void update_groups(const entry_statistics& entries);
     void clear_groups();
     void update_links();
-    /// How well a group's labels suit a job.
+
+    /// How well the labels of a group match a job.
     enum class label_match : std::uint8_t
     {
-        missing_required,  ///< No agent has a label that a step needs.
-        missing_preferred, ///< None has one that a step prefers.
-        all_present        ///< Each label is there.
+        missing_required,  ///< A step needs a label that no agent has.
+        missing_preferred, ///< A step prefers a label that no agent has.
+        all_present        ///< All needed and preferred labels are present.
     };
 
     void note_missing_label(const job_definition& job);
@@ -228,19 +239,24 @@
     void handle_reply(job_id id, const std::optional<job_reply>& reply);
     void finish(job_id id, const job_reply& reply);
 
-    dependencies dependencies_;          ///< Of the entry.
-    job_handover_settings settings_;     ///< Limits.
-    std::uint64_t divided_revision_ = 0; ///< Revision of the divided directory.
-    std::size_t divided_entry_count_ = 0; ///< Entries that were known then.
-    std::vector<hosted_group> groups_;    ///< Sampled.
-    std::optional<std::set<std::string>> sample_; ///< Agents of these.
-    std::uint64_t sample_revision_ = 0;           ///< Of these.
-    std::map<std::string, std::unique_ptr<host_link>> links_; ///< By host.
-    std::map<job_id, handed_job> jobs_;                       ///< At hosts.
-    recent_ends ended_;                      ///< Of jobs that hosts had.
-    std::optional<instant> label_missed_at_; ///< See lacks_label().
-    bool active_ = false;                    ///< Jobs are handed over.
-    job_handover_stats stats_;               ///< Counters.
+    dependencies dependencies_;
+    job_handover_settings settings_;
+    /// Directory revision at the last division.
+    std::uint64_t divided_revision_ = 0;
+    /// Number of entries at the last division.
+    std::size_t divided_entry_count_ = 0;
+    std::vector<hosted_group> groups_; ///< Sampled groups.
+    /// Agents of the sampled groups; null while jobs are not handed over.
+    std::optional<std::set<std::string>> sample_;
+    std::uint64_t sample_revision_ = 0; ///< Revision of the sampled agents.
+    /// Links by host name.
+    std::map<std::string, std::unique_ptr<host_link>> links_;
+    std::map<job_id, handed_job> jobs_; ///< Jobs at hosts.
+    recent_ends ended_; ///< Recent ends of jobs that were at hosts.
+    /// Time of the last job whose label no sampled group had.
+    std::optional<instant> label_missed_at_;
+    bool active_ = false; ///< Whether jobs are handed over.
+    job_handover_stats stats_;
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/hosting/job_host.cpp
+++ b/src/glenhollow/hosting/job_host.cpp
@@ -16,9 +16,9 @@
 
 constexpr duration load_log_interval = seconds{2};
 
-/// A process whose ticks, 50 ms apart, stop for so long stood still. Below the
-/// time after which entries give a silent host up, so that it never takes a
-/// job which its entry has reported as lost.
+/// Time without a tick after which the process counts as suspended. It is
+/// shorter than the time after which entries give up a silent host, so that a
+/// resumed host takes no job that its entry has reported as lost.
 constexpr duration pause_limit = milliseconds{400};
 
 std::int64_t wall_milliseconds()
@@ -139,7 +139,7 @@
     schedule_dispatch();
 }
 
-/// What waits already comes first.
+/// Waiting tasks take precedence, so there is no room while any wait.
 bool job_host::has_room(const job_definition& job) const
 {
     return dispatcher_.waiting() == 0 &&
@@ -174,7 +174,7 @@
 void job_host::tick()
 {
     const auto now = clock_.now();
-    // What had come meanwhile is read only after this tick.
+    // Calls that arrived during a suspension are handled after this tick.
     resumed_after_pause_ = now - last_tick_ > pause_limit;
     last_tick_ = now;
     agents_.tick();
@@ -197,8 +197,8 @@
     }
 }
 
-/// Its session is closed first; what ran there is given up only when it has
-/// surely lapsed, as for a silent agent.
+/// Closes the sessions of agents that left the group. Their runs are given up
+/// only after the silence timeout, when they have ended for certain.
 void job_host::remove_departed_agents()
 {
     const auto now = clock_.now();
@@ -223,7 +223,7 @@
     }
 }
 
-/// One line each while for the people on call: what limits placement.
+/// Logs the load and the capacity of the group at a fixed interval.
 void job_host::log_load()
 {
     const auto now = clock_.now();
@@ -265,25 +265,28 @@
     const auto count = [&page](std::string_view name, std::string_view help,
                                std::uint64_t value)
     { page.counter(name, help, static_cast<double>(value)); };
-    count("host_jobs_accepted_total", "Jobs taken from entries", jobs.accepted);
-    count("host_jobs_refused_total", "Jobs not taken", jobs.refused);
-    count("host_jobs_succeeded_total", "Jobs ended well", jobs.succeeded);
-    count("host_jobs_failed_total", "Jobs failed", jobs.failed);
+    count("host_jobs_accepted_total", "Jobs accepted from entries",
+          jobs.accepted);
+    count("host_jobs_refused_total", "Jobs refused", jobs.refused);
+    count("host_jobs_succeeded_total", "Jobs that succeeded", jobs.succeeded);
+    count("host_jobs_failed_total", "Jobs that failed", jobs.failed);
     count("host_jobs_late_total", "Jobs ended after their objective",
           jobs.late);
-    count("host_jobs_given_up_total", "Jobs past any worth", jobs.given_up);
+    count("host_jobs_given_up_total",
+          "Jobs given up because a result would be useless", jobs.given_up);
     count("host_jobs_withdrawn_total", "Jobs whose caller left",
           jobs.withdrawn);
-    count("host_tasks_placed_total", "Orders to start", placed.placed);
-    count("host_tasks_stopped_total", "Orders to stop", placed.stopped);
-    count("host_order_batches_total", "Messages to agents", placed.batches);
-    count("host_jobs_demoted_total", "Jobs put behind others under overload",
+    count("host_tasks_placed_total", "Start orders to agents", placed.placed);
+    count("host_tasks_stopped_total", "Stop orders to agents", placed.stopped);
+    count("host_order_batches_total", "Order batches sent to agents",
+          placed.batches);
+    count("host_jobs_demoted_total", "Jobs demoted under overload",
           placed.demoted);
-    page.gauge("host_jobs_open", "Jobs not ended",
+    page.gauge("host_jobs_open", "Open jobs",
                static_cast<double>(jobs_.open_jobs()));
     page.gauge("host_agents", "Agents that this host places at",
                static_cast<double>(group_.size()));
-    page.gauge("host_agents_linked", "Of these, with a session",
+    page.gauge("host_agents_linked", "Agents of the group with a session",
                static_cast<double>(attached()));
 }
 
@@ -299,7 +302,9 @@
     dispatcher_.detached(agent);
 }
 
-/// What it may run by this order is not given up before its time.
+/// Counts the agent's silence from now at the latest, like the lease that is
+/// sent with the order. The runs it starts have then ended by the time a silent
+/// agent is given up.
 void job_host::agent_ordered(const std::string& agent)
 {
     auto& since = silences_[agent].since;
--- a/src/glenhollow/hosting/job_host.hpp
+++ b/src/glenhollow/hosting/job_host.hpp
@@ -17,95 +17,98 @@
 namespace glenhollow
 {
 
-/// Settings of a host.
+/// Settings of a job host.
 struct job_host_settings
 {
-    std::string name;              ///< As agents know it.
-    std::uint64_t incarnation = 0; ///< Of this process.
-    duration room_gap =
-        milliseconds{20}; ///< Between two reports of room
-                          ///< alone: ends are told at once, and
-                          ///< nobody else places at these agents,
-                          ///< so that its own count is exact.
-    duration departed_agent_retention =
-        seconds{10};                ///< An agent that has left the group may
-                                    ///< still have runs of this host.
+    std::string name;              ///< Name under which agents know the host.
+    std::uint64_t incarnation = 0; ///< Incarnation of this process.
+    /// Minimum time between two reports that only update an agent's free
+    /// capacity. Ends are reported at once, and no other process places at
+    /// these agents, so the host's own count stays exact.
+    duration room_gap = milliseconds{20};
+    /// Time for which an agent that left the group is kept, as it may still
+    /// have runs of this host.
+    duration departed_agent_retention = seconds{10};
     job_coordinator_settings jobs;  ///< Limits of jobs in memory.
-    dispatcher_settings dispatch;   ///< Limits.
-    agent_sessions_settings agents; ///< Limits.
+    dispatcher_settings dispatch;   ///< Settings of task placement.
+    agent_sessions_settings agents; ///< Settings of the sessions with agents.
 };
 
-/// Whole jobs in memory at an agent's process: places their tasks at a group of
-/// agents, follows their runs and answers at their ends. Entries hand jobs over
-/// where none of them has the processor time to place for all. Runs inside an
-/// rpc_loop.
+/// Runs whole jobs in memory for entries, inside an agent process: places their
+/// tasks at a group of agents, tracks the runs and replies when the jobs end.
+/// Entries use hosts when no entry has enough CPU to place all jobs. Runs
+/// inside an rpc_loop.
 class job_host final : private agent_session_listener, private task_source
 {
 public:
-    /// @param io Runs it.
-    /// @param clock Outlives it.
-    /// @param store Outlives it; jobs in memory write nothing there.
-    /// @param settings Limits.
+    /// @param io Event loop of the host.
+    /// @param clock Must outlive the host.
+    /// @param store Must outlive the host; jobs in memory write nothing to it.
+    /// @param settings Settings of the host.
     job_host(boost::asio::io_context& io, const clock_source& clock,
              row_store& store, const job_host_settings& settings);
     ~job_host() noexcept override;
 
-    /// @param agents The group as entries know it; agents that left it get no
-    /// new work from here.
+    /// Sets the agents at which tasks are placed. Agents that left the group
+    /// get no new work.
+    /// @param agents Names and addresses of the agents.
     void set_group(const std::vector<agent_address>& agents);
 
-    /// @param job One in memory.
-    /// @param done Told its end; `not_owner` where this host takes no more
-    /// jobs and nothing was done.
+    /// Runs a job.
+    /// @param job Job in memory.
+    /// @param done Called with the reply; the outcome is `not_owner` if this
+    /// host takes no more jobs and did nothing.
     void submit(const job_definition& job, job_reply_handler done);
 
-    /// @param job One in memory.
-    /// @return Whether all tasks of its widest step could begin now.
+    /// @param job Job in memory.
+    /// @return Whether all tasks of the job's widest step could start now.
     bool has_room(const job_definition& job) const;
 
-    /// @param id A job.
-    /// @return Whether it has come and not ended, or ended lately.
+    /// @param id The job.
+    /// @return Whether the job is running here or ended recently.
     bool knows(job_id id) const { return jobs_.knows(id); }
 
-    /// @param id A job whose caller has gone.
+    /// Withdraws a job whose caller has left.
+    /// @param id The job.
     void withdraw(job_id id);
 
-    /// @param id A job.
-    /// @param done Told the end.
+    /// Cancels a job.
+    /// @param id The job.
+    /// @param done Called with the reply.
     void cancel(job_id id, job_reply_handler done);
 
-    /// Does what is due.
+    /// Runs the periodic work: session upkeep, timeouts and logging.
     void tick();
 
-    /// Takes no more jobs: the process will end.
+    /// Stops taking jobs, before the process ends.
     void refuse_new() { refusing_ = true; }
 
-    /// @return Whether it takes no more jobs.
+    /// @return Whether the host has stopped taking jobs.
     bool refusing() const { return refusing_; }
 
-    /// Answers for all jobs at once.
+    /// Stops taking jobs and replies to all open ones at once.
     void give_up_all();
 
-    /// Ends all sessions, while the event loop lives.
+    /// Ends all sessions. Call it while the event loop still exists.
     void close();
 
-    /// @return Whether this process stood still until just now: what came
-    /// meanwhile is old, and its senders have given it up.
+    /// @return Whether this process was suspended until just now. Calls that
+    /// arrived meanwhile are stale, and their senders have given up on them.
     bool paused() const;
 
-    /// @return Jobs that have not ended.
+    /// @return Number of jobs that have not ended.
     std::size_t open_jobs() const { return jobs_.open_jobs(); }
 
-    /// @return Agents of the group with an open session.
+    /// @return Number of agents in the group with an open session.
     std::size_t attached() const;
 
-    /// @return What is known here, by service.
+    /// @return Load of the group by service.
     std::map<std::string, placement_load> loads() const
     {
         return dispatcher_.loads();
     }
 
-    /// @param page Gets the host's metrics.
+    /// @param page Receives the metrics of the host.
     void collect(metric_page& page) const;
 
 private:
@@ -137,7 +140,7 @@
     }
     hall_evacuation evacuation_of(const std::string&) const override
     {
-        return {}; // Entries tell the agents themselves.
+        return {}; // Entries send evacuations to the agents themselves.
     }
     std::optional<run_order> assign(const ready_task& task,
                                     const std::string& agent) override
@@ -145,11 +148,12 @@
         return jobs_.assign(task, agent);
     }
 
-    /// How long an agent has been silent.
+    /// Silence of an agent.
     struct agent_silence
     {
-        instant since{};    ///< Unless it reports.
-        bool ended = false; ///< Its runs are given up.
+        /// Time from which the agent counts as silent unless it reports.
+        instant since{};
+        bool ended = false; ///< Whether the agent's runs were given up.
     };
 
     job_coordinator::dependencies dependencies();
@@ -159,22 +163,25 @@
     void log_load();
     void schedule_dispatch();
 
-    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true); ///< Guard.
-    boost::asio::io_context& io_;                                ///< Runs it.
-    const clock_source& clock_;                     ///< This process's.
-    row_store& store_;                              ///< Not written to.
-    job_host_settings settings_;                    ///< Limits.
-    agent_sessions agents_;                         ///< Links to agents.
-    dispatcher dispatcher_;                         ///< Places tasks.
-    job_coordinator jobs_;                          ///< The jobs.
-    std::set<std::string> group_;                   ///< Agents to place at.
-    std::map<std::string, instant> departed_;       ///< Agents that were.
-    std::map<std::string, agent_silence> silences_; ///< By agent.
-    instant last_tick_{};                           ///< Last tick.
-    bool resumed_after_pause_ = false; ///< It stood still until then.
-    instant load_logged_at_{};         ///< Last line on the load.
-    bool dispatching_ = false;         ///< A dispatch is on its way.
-    bool refusing_ = false;            ///< Takes no more jobs.
+    /// Set to false when the host closes; guards pending callbacks.
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+    boost::asio::io_context& io_; ///< Event loop of the host.
+    const clock_source& clock_;
+    /// Required by the coordinator; jobs in memory do not write to it.
+    row_store& store_;
+    job_host_settings settings_;
+    agent_sessions agents_;       ///< Sessions with the agents.
+    dispatcher dispatcher_;       ///< Places tasks at the agents.
+    job_coordinator jobs_;        ///< Open jobs.
+    std::set<std::string> group_; ///< Names of the agents to place at.
+    std::map<std::string, instant> departed_; ///< Time of leaving by agent.
+    std::map<std::string, agent_silence> silences_; ///< Silence by agent.
+    instant last_tick_{};                           ///< Time of the last tick.
+    /// The process was suspended before the last tick.
+    bool resumed_after_pause_ = false;
+    instant load_logged_at_{}; ///< Time of the last load log line.
+    bool dispatching_ = false; ///< A dispatch is scheduled.
+    bool refusing_ = false;    ///< The host takes no more jobs.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/hosting/job_host_server.cpp
+++ b/src/glenhollow/hosting/job_host_server.cpp
@@ -39,7 +39,7 @@
     out.setStopping(host.refusing());
 }
 
-/// What one entry calls; ends with its connection.
+/// RPC interface of one entry's session. The session ends with the connection.
 class job_host_server::session_server final : public wire::JobHost::Server
 {
 public:
@@ -58,7 +58,7 @@
     {
         const auto job =
             from_wire(context.getParams().getJob(), wall_milliseconds());
-        auto* caller = last_call();
+        auto* caller = refresh_session();
         if (const auto valid = check_form(job); !valid)
         {
             log_change(
@@ -70,13 +70,13 @@
         }
         if (caller == nullptr || server_.host_.paused())
         {
-            // The same job may have come over another session.
-            const bool found = *alive_ && server_.host_.knows(job.id);
-            fill(
-                context.getResults().initAnswer(),
-                job_reply{found ? job_outcome::unknown : job_outcome::not_owner,
-                          job_state::queued,
-                          {}});
+            // The same job may have arrived through another session.
+            const bool is_known = *alive_ && server_.host_.knows(job.id);
+            fill(context.getResults().initAnswer(),
+                 job_reply{is_known ? job_outcome::unknown
+                                    : job_outcome::not_owner,
+                           job_state::queued,
+                           {}});
             return kj::READY_NOW;
         }
         if (context.getParams().getOnlyWithRoom() &&
@@ -110,7 +110,7 @@
 
     kj::Promise<void> withdraw(WithdrawContext context) override
     {
-        if (last_call() == nullptr)
+        if (refresh_session() == nullptr)
             return kj::READY_NOW;
         for (const auto job : context.getParams().getJobs())
         {
@@ -122,7 +122,7 @@
 
     kj::Promise<void> cancel(CancelContext context) override
     {
-        if (last_call() == nullptr)
+        if (refresh_session() == nullptr)
         {
             fill(context.getResults().initAnswer(), job_reply{});
             return kj::READY_NOW;
@@ -141,7 +141,7 @@
 
     kj::Promise<void> check(CheckContext context) override
     {
-        auto* caller = last_call();
+        auto* caller = refresh_session();
         if (caller == nullptr)
             return KJ_EXCEPTION(DISCONNECTED, "the session has ended");
         std::vector<agent_address> agents;
@@ -162,14 +162,16 @@
     }
 
 private:
-    /// @return The session, if it has not ended.
-    session* last_call()
+    /// Records a call of the entry.
+    /// @return The session, or null if it has ended.
+    session* refresh_session()
     {
         auto* caller = *alive_ ? server_.find(number_) : nullptr;
         if (caller == nullptr)
             return nullptr;
         const auto now = server_.clock_.now();
-        // A call that lay here for long is no sign of life.
+        // A call that was delayed past the timeout does not show that the entry
+        // is alive.
         if (now - caller->last_call > server_.settings_.silence_timeout)
         {
             server_.end(number_, "silent");
@@ -179,9 +181,9 @@
         return caller;
     }
 
-    job_host_server& server_;     ///< Not used after its end.
-    std::shared_ptr<bool> alive_; ///< Whether it has not ended.
-    session_number number_;       ///< Of the session.
+    job_host_server& server_;     ///< Not used after its destruction.
+    std::shared_ptr<bool> alive_; ///< False once the server is destroyed.
+    session_number number_;       ///< Number of the session.
 };
 
 job_host_server::job_host_server(const clock_source& clock, job_host& host,
@@ -215,7 +217,7 @@
     return found == sessions_.end() ? nullptr : &found->second;
 }
 
-/// The same job may have come over two sessions: it goes on for the other.
+/// Withdraws a job unless another session awaits it as well.
 void job_host_server::withdraw_if_unclaimed(job_id job)
 {
     const bool claimed = std::any_of(sessions_.begin(), sessions_.end(),
@@ -247,8 +249,8 @@
         open_session->jobs.erase(job);
 }
 
-/// Entries may know the group differently for a while: the host places at all
-/// agents that one of them counts.
+/// Sets the host's group to the union of the groups that entries sent, as
+/// entries may know different members for a while.
 void job_host_server::merge_groups()
 {
     std::map<std::string, host_port> all;
--- a/src/glenhollow/hosting/job_host_server.hpp
+++ b/src/glenhollow/hosting/job_host_server.hpp
@@ -14,37 +14,37 @@
 namespace glenhollow
 {
 
-/// Limits of the sessions.
+/// Limits of the sessions with entries.
 struct job_host_server_settings
 {
-    duration silence_timeout =
-        seconds{1}; ///< An entry that is not heard for so long
-                    ///< is gone. It notices a cut after 0.6 s or
-                    ///< more, and its callers may send their
-                    ///< jobs again 1.3 s after that: by then
-                    ///< nothing may run here.
+    /// Time without a call after which an entry's session ends. It must be
+    /// short enough that the entry's jobs have stopped here before callers
+    /// resubmit them.
+    duration silence_timeout = seconds{1};
 };
 
-/// Offers a host to entries: one session each. What an entry has here ends with
-/// its session, or when it is silent. Runs inside an rpc_loop.
+/// Serves a job host to entries, with one session per entry. The jobs of an
+/// entry are withdrawn when its session ends or times out. Runs inside an
+/// rpc_loop.
 class job_host_server final
 {
 public:
-    /// @param clock Outlives the server.
-    /// @param host Outlives the server.
-    /// @param settings Limits.
+    /// @param clock Must outlive the server.
+    /// @param host Must outlive the server.
+    /// @param settings Limits of the sessions.
     job_host_server(const clock_source& clock, job_host& host,
                     const job_host_server_settings& settings);
     ~job_host_server() noexcept;
 
-    /// @param entry Its name; an earlier session of it ends.
-    /// @return Its session.
+    /// Opens a session and ends an earlier one of the same entry.
+    /// @param entry Name of the entry.
+    /// @return The session's interface for the entry.
     wire::JobHost::Client open(const std::string& entry);
 
-    /// Ends the sessions of silent entries.
+    /// Ends the sessions of entries that timed out.
     void tick();
 
-    /// @return Sessions that are open.
+    /// @return Number of open sessions.
     std::size_t sessions() const { return sessions_.size(); }
 
 private:
@@ -54,10 +54,11 @@
     /// One entry's session.
     struct session
     {
-        std::string entry;                 ///< Its name.
-        instant last_call{};               ///< Its last call.
-        std::set<job_id> jobs;             ///< That it waits for.
-        std::vector<agent_address> agents; ///< The group as it knows it.
+        std::string entry;     ///< Name of the entry.
+        instant last_call{};   ///< Time of the entry's last call.
+        std::set<job_id> jobs; ///< Jobs whose replies the entry awaits.
+        /// Members of the group as the entry knows them.
+        std::vector<agent_address> agents;
     };
 
     session* find(session_number number);
@@ -66,16 +67,18 @@
     void withdraw_if_unclaimed(job_id job);
     void merge_groups();
 
-    const clock_source& clock_;                  ///< This process's.
-    job_host& host_;                             ///< The jobs.
-    job_host_server_settings settings_;          ///< Limits.
-    std::map<session_number, session> sessions_; ///< Open.
-    session_number session_count_ = 0;           ///< Of sessions so far.
-    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true); ///< Guard.
+    const clock_source& clock_;
+    job_host& host_; ///< Runs the jobs.
+    job_host_server_settings settings_;
+    std::map<session_number, session> sessions_; ///< Open sessions.
+    session_number session_count_ = 0; ///< Number of the last opened session.
+    /// Set to false by the destructor; guards pending callbacks.
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-/// @param out Gets the load.
-/// @param host What is told of.
+/// Writes a host's load to a message.
+/// @param out Message to fill.
+/// @param host Host to describe.
 void fill(wire::HostLoad::Builder out, const job_host& host);
 
 } // namespace glenhollow
--- a/src/glenhollow/hosting/recent_ends.hpp
+++ b/src/glenhollow/hosting/recent_ends.hpp
@@ -13,31 +13,32 @@
 namespace glenhollow
 {
 
-/// Bounds of what is remembered.
+/// Limits of the record of ended jobs.
 struct recent_ends_settings
 {
-    duration retention = seconds{10}; ///< As long as an entry remembers the
-                                      ///< ends of jobs in memory that it ran
-                                      ///< itself: a job whose answer was lost
-                                      ///< comes again some seconds later.
-    std::size_t max_jobs = 20'000; ///< Jobs, the oldest goes first: some 2 MB,
-                                   ///< and 2,000 jobs a second for `keep`.
+    /// Time for which an end is kept, so that a resubmission after a lost
+    /// answer finds it.
+    duration retention = seconds{10};
+    /// Maximum number of jobs kept; the oldest is evicted first.
+    std::size_t max_jobs = 20'000;
 };
 
-/// How jobs that hosts ran have ended lately, so that one that arrives again at
-/// the entry that handed it over is answered and not run anew. One thread.
+/// Final states of jobs that ended recently at hosts. A job that is resubmitted
+/// to the entry that handed it over is answered from here instead of running
+/// again. Not thread-safe.
 class recent_ends final
 {
 public:
-    /// @param settings Bounds.
+    /// @param settings Limits of the record.
     explicit recent_ends(const recent_ends_settings& settings)
         : settings_(settings)
     {
     }
 
-    /// @param id A job that has ended.
-    /// @param state How.
-    /// @param now The time.
+    /// Records the end of a job; a later end of the same job is ignored.
+    /// @param id The job.
+    /// @param state Final state of the job.
+    /// @param now Current time.
     void record(job_id id, job_state state, instant now)
     {
         expire(now);
@@ -48,8 +49,8 @@
             evict_oldest();
     }
 
-    /// @param id A job.
-    /// @return How it ended, if it did lately.
+    /// @param id The job.
+    /// @return Final state of the job, if it is recorded.
     std::optional<job_state> find(job_id id) const
     {
         const auto found = states_.find(id);
@@ -58,7 +59,8 @@
         return found->second;
     }
 
-    /// @param now The time.
+    /// Removes the ends that are older than the retention time.
+    /// @param now Current time.
     void expire(instant now)
     {
         while (!order_.empty() &&
@@ -66,7 +68,7 @@
             evict_oldest();
     }
 
-    /// @return Jobs that are remembered.
+    /// @return Number of recorded jobs.
     std::size_t size() const { return order_.size(); }
 
 private:
@@ -76,9 +78,9 @@
         order_.pop_front();
     }
 
-    recent_ends_settings settings_;                ///< Bounds.
-    std::unordered_map<job_id, job_state> states_; ///< By job.
-    std::deque<std::pair<instant, job_id>> order_; ///< By time.
+    recent_ends_settings settings_;
+    std::unordered_map<job_id, job_state> states_; ///< Final state by job.
+    std::deque<std::pair<instant, job_id>> order_; ///< Jobs, oldest end first.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/membership/member.hpp
+++ b/src/glenhollow/membership/member.hpp
@@ -11,11 +11,11 @@
 namespace glenhollow
 {
 
-/// What a VM is for.
+/// Role of a VM.
 enum class member_role : std::uint8_t
 {
     entry, ///< Runs glenhollow-entry.
-    runner ///< Runs a runner with glenhollow-agent.
+    runner ///< Runs a backend server and glenhollow-agent.
 };
 
 template <>
@@ -24,12 +24,12 @@
     static constexpr std::array<std::string_view, 2> names{"entry", "runner"};
 };
 
-/// What the platform's list says of a VM.
+/// State of a VM in the platform's list.
 enum class member_state : std::uint8_t
 {
-    live,    ///< It runs.
-    leaving, ///< It will be stopped.
-    gone     ///< It is no more.
+    live,    ///< The VM is running.
+    leaving, ///< The VM will be stopped.
+    gone     ///< The VM no longer exists.
 };
 
 template <>
@@ -39,14 +39,15 @@
                                                            "gone"};
 };
 
-/// One VM of the platform's list.
+/// A VM in the platform's list.
 struct member
 {
-    std::string name;                        ///< Its name.
-    member_role role = member_role::runner;  ///< What it is for.
-    std::string hall;                        ///< Where it stands.
-    host_port rpc;                           ///< Its process's RPC port.
-    member_state state = member_state::live; ///< As listed, with a lag.
+    std::string name;
+    member_role role = member_role::runner;
+    std::string hall; ///< Hall in which the VM runs.
+    host_port rpc;    ///< RPC address of the VM's process.
+    /// Listed state, which may be out of date.
+    member_state state = member_state::live;
 
     bool operator==(const member& other) const
     {
@@ -56,7 +57,7 @@
     }
 };
 
-/// All VMs by name.
+/// VMs by name.
 using member_map = std::map<std::string, member>;
 
 } // namespace glenhollow
--- a/src/glenhollow/membership/membership.cpp
+++ b/src/glenhollow/membership/membership.cpp
@@ -79,7 +79,8 @@
 namespace
 {
 
-/// @return Whether an entry is among the first that a runner's name ranks.
+/// @return Whether the entry is among the `limit` best candidates for the
+/// backend server.
 bool ranks_among_first(const std::string& entry, const std::string& runner,
                        const std::vector<std::string>& candidates,
                        std::size_t limit)
--- a/src/glenhollow/membership/membership.hpp
+++ b/src/glenhollow/membership/membership.hpp
@@ -12,66 +12,70 @@
 namespace glenhollow
 {
 
-/// The VMs as the platform's lagging list tells them. Pure state: whoever
-/// reads the list feeds it, links correct it.
+/// The VMs of the deployment, from the platform's list and from peers. The list
+/// may be out of date. Does no I/O.
 class membership final
 {
 public:
-    /// Told after each change.
+    /// Called after each change.
     using changed_handler = std::function<void()>;
 
-    /// @param handler Told after each change.
+    /// @param handler Called after each change.
     void on_changed(changed_handler handler)
     {
         changed_handler_ = std::move(handler);
     }
 
-    /// Takes changes of the list.
+    /// Applies changes of the platform's list.
     /// @param changes New state of each changed VM.
     void apply(const std::vector<member>& changes);
 
-    /// Takes what a peer knows, for VMs that are unknown here.
-    /// @param known The peer's members.
+    /// Adds VMs that a peer knows and this process does not. Known VMs are not
+    /// changed.
+    /// @param known VMs that the peer knows.
     void add_unknown(const std::vector<member>& known);
 
     /// @return All VMs that are not gone, by name.
     const member_map& members() const { return members_; }
 
-    /// @param name A VM.
-    /// @return The VM, or null.
+    /// @param name Name of a VM.
+    /// @return The VM, or null if it is unknown.
     const member* find(const std::string& name) const;
 
-    /// @param role What they are for.
-    /// @return All such VMs.
+    /// @param role Role to select.
+    /// @return All VMs with that role.
     std::vector<member> with_role(member_role role) const;
 
 private:
-    member_map members_;              ///< Not gone.
+    member_map members_;              ///< VMs that are not gone.
     changed_handler changed_handler_; ///< May be empty.
 };
 
-/// Orders candidates for a key so that every node, without asking another,
-/// ranks them alike and few ranks change with membership (rendezvous hashing).
-/// @param key What is to be placed.
-/// @param candidates Names.
+/// Orders candidates by rendezvous hashing, so that all nodes get the same
+/// order without coordination and membership changes move few ranks.
+/// @param key Key to place.
+/// @param candidates Names of the candidates.
 /// @return The candidates, best first.
 std::vector<std::string> rendezvous_order(const std::string& key,
                                           std::vector<std::string> candidates);
 
-/// Limits on the links between entries and runners.
+/// Limits on the links between entries and backend servers.
 struct link_subset_settings
 {
-    std::size_t own_hall = 4;    ///< Entries of its own hall, for a runner.
-    std::size_t other_halls = 2; ///< Entries of all other halls, likewise.
+    /// Entries in the backend server's own hall that link to it.
+    std::size_t own_hall = 4;
+    /// Entries in all other halls together that link to it.
+    std::size_t other_halls = 2;
 };
 
-/// @param entry The entry that links.
-/// @param entries All entries, that one among them.
-/// @param runners All runners.
-/// @param settings Limits.
-/// @return The runners that the entry links to. Each runner has the same
-/// small number of entries, so none is left without, and the state and
-/// heartbeats of a node stay flat as halls grow.
+/// Selects the backend servers to which an entry links. Each backend server
+/// gets the same small number of entries, so that none is left out and the
+/// number of links per node does not grow with the deployment.
+/// @param entry Name of the entry.
+/// @param entries All entries, including this one.
+/// @param runners All backend servers.
+/// @param settings Limits on the links.
+/// @return The selected backend servers.
 std::vector<member> link_subset(const std::string& entry,
                                 const std::vector<member>& entries,
                                 const std::vector<member>& runners,
--- a/src/glenhollow/overlay/agent_directory.hpp
+++ b/src/glenhollow/overlay/agent_directory.hpp
@@ -10,13 +10,14 @@
 namespace glenhollow
 {
 
-/// The agents of the deployment and their addresses, as the members' rows tell.
-/// A process has sessions with some of them; see session_scope.
+/// Addresses of all agents of the deployment, from the rows of the members. A
+/// process has sessions with only some of them; see session_scope.
 class agent_directory final
 {
 public:
-    /// @param name Of an agent.
-    /// @param where Its address; replaces an earlier one.
+    /// Adds an agent or changes its address.
+    /// @param name Name of the agent.
+    /// @param address Address of the agent.
     void set(const std::string& name, const host_port& address)
     {
         const auto [found, is_new] = agents_.try_emplace(name, address);
@@ -26,18 +27,19 @@
         ++revision_;
     }
 
-    /// @param name Of an agent that has left for good.
+    /// Removes an agent that has left for good.
+    /// @param name Name of the agent.
     void erase(const std::string& name) { revision_ += agents_.erase(name); }
 
-    /// @return Addresses by name.
+    /// @return Addresses by agent name.
     const std::map<std::string, host_port>& agents() const { return agents_; }
 
-    /// @return A number that rises with each change.
+    /// @return Revision of the directory; increases with each change.
     std::uint64_t revision() const { return revision_; }
 
 private:
-    std::map<std::string, host_port> agents_; ///< By name.
-    std::uint64_t revision_ = 0;              ///< Of these.
+    std::map<std::string, host_port> agents_; ///< Addresses by agent name.
+    std::uint64_t revision_ = 0;              ///< Increases with each change.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/overlay/feed_pacing.hpp
+++ b/src/glenhollow/overlay/feed_pacing.hpp
@@ -9,21 +9,23 @@
 namespace glenhollow
 {
 
-/// How often processes read the changes of a table that all of them follow.
+/// Intervals at which processes read the changes of a shared table.
 struct feed_pacing_settings
 {
-    duration interval_per_reader = milliseconds{5}; ///< Between two reads of
-                                                    ///< all readers together.
-    duration min_interval = milliseconds{20}; ///< Between two reads of one.
-    duration max_interval = seconds{5}; ///< However many readers there are.
+    /// Average time between two reads of the table by any reader.
+    duration interval_per_reader = milliseconds{5};
+    /// Minimum time between two reads by one reader.
+    duration min_interval = milliseconds{20};
+    /// Maximum time between two reads by one reader, for any number of readers.
+    duration max_interval = seconds{5};
 };
 
-/// Each change of a table answers each reader that waits for one. While rows
-/// change all the time, as at the start of a deployment, readers must rather
-/// collect changes, or the store's calls grow with readers times changes.
-/// @param settings Limits.
-/// @param readers Processes that follow the table.
-/// @return The least time between two reads of one of them.
+/// Calculates how often one process may read the changes of a shared table. A
+/// feed answers all waiting readers at each change; without a minimum interval,
+/// a burst of changes would cost one store call per change and reader.
+/// @param settings Intervals between reads.
+/// @param readers Number of processes that follow the table.
+/// @return Minimum time between two reads by one process.
 inline duration feed_interval(const feed_pacing_settings& settings,
                               std::size_t readers)
 {
--- a/src/glenhollow/overlay/gossip_fanout.hpp
+++ b/src/glenhollow/overlay/gossip_fanout.hpp
@@ -12,30 +12,31 @@
 namespace glenhollow
 {
 
-/// Limits of gossip.
+/// Settings of the gossip fanout.
 struct gossip_fanout_settings
 {
-    std::size_t targets = 4; ///< Peers that are told a new fact at once.
-    std::uint64_t seed = 1;  ///< Seed of the draws.
+    /// Number of peers to which a new fact is sent at once.
+    std::size_t targets = 4;
+    std::uint64_t seed = 1; ///< Seed of the random selection.
 };
 
-/// Draws the peers that a process tells a fact as soon as it learns it. Each of
-/// them does the same, so that a fact reaches nearly all processes in a number
-/// of rounds that grows with the logarithm of their number, at a cost for each
-/// process that does not grow. The few that a draw misses learn it with the
-/// regular exchanges.
+/// Selects the peers to which a process forwards a new fact. Since each
+/// receiver does the same, a fact reaches nearly all processes in a number of
+/// rounds logarithmic in their count, at a constant cost per process. Processes
+/// that are missed learn it from the periodic exchanges.
 class gossip_fanout final
 {
 public:
-    /// @param settings Limits.
+    /// @param settings Number of peers and random seed.
     explicit gossip_fanout(const gossip_fanout_settings& settings)
         : settings_(settings), random_(settings.seed)
     {
     }
 
-    /// @param peers Those that can be told.
-    /// @return Those that are told now, all equally likely; everyone where
-    /// there are no more than the limit.
+    /// Selects peers at random, each with the same probability.
+    /// @param peers Reachable peers.
+    /// @return The selected peers; all of them if there are no more than
+    /// `targets`.
     template <class Peer>
     std::vector<Peer> draw(const std::vector<Peer>& peers)
     {
@@ -46,8 +47,8 @@
     }
 
 private:
-    gossip_fanout_settings settings_; ///< Limits.
-    random_engine random_;            ///< Draws.
+    gossip_fanout_settings settings_;
+    random_engine random_;
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/overlay/session_scope.hpp
+++ b/src/glenhollow/overlay/session_scope.hpp
@@ -14,72 +14,76 @@
 namespace glenhollow
 {
 
-/// Limits of the scope.
+/// Settings of the session scope.
 struct session_scope_settings
 {
-    duration linger = seconds{2}; ///< A session that is not needed any more
-                                  ///< stays open for so long.
+    /// Time for which a session stays open once it is no longer needed.
+    duration linger = seconds{2};
 };
 
-/// What an entry needs sessions for.
+/// Needs of an entry for sessions with agents.
 struct session_demand
 {
-    const std::set<std::string>* sample = nullptr; ///< Agents that suffice for
-                                                   ///< handing jobs over; null:
-                                                   ///< every agent is needed.
-    std::uint64_t sample_revision = 0; ///< Rises with each change of the
-                                       ///< sample.
-    bool every_agent = false;          ///< Each one may run something of this
-                                       ///< entry, or must be asked.
-    std::function<bool(const std::string&)> in_use; ///< Whether a session must
-                                                    ///< not end now.
+    /// Agents that suffice to hand jobs over; null if every agent is needed.
+    const std::set<std::string>* sample = nullptr;
+    /// Increases with each change of the sample.
+    std::uint64_t sample_revision = 0;
+    /// Whether every agent is needed, as each may run tasks of this entry or
+    /// must be queried.
+    bool every_agent = false;
+    /// Whether a session is in use and must not end.
+    std::function<bool(const std::string&)> in_use;
 };
 
 /// Decides with which agents an entry keeps sessions, so that their number
-/// grows neither with the agents nor with the entries: a sample while its jobs
-/// are handed over to hosts, all while any agent may be the one that it needs.
-/// Waiting tasks are no such need: after a loss of power or under overload they
-/// wait at every entry, and more sessions would only add to the load.
+/// grows neither with the agents nor with the entries. An entry that hands its
+/// jobs over needs a sample of the agents; otherwise, or if any agent may hold
+/// its tasks, it needs all of them. Waiting tasks do not extend the scope:
+/// under overload they wait at every entry, and more sessions would add to the
+/// load.
 class session_scope final
 {
 public:
     /// Sessions to open and to end.
     struct changes
     {
-        std::vector<std::string> open; ///< Agents, also with a new address.
-        std::vector<std::string> end;  ///< Agents.
+        /// Agents that are new or have a new address.
+        std::vector<std::string> open;
+        std::vector<std::string> end; ///< Agents whose session is to end.
     };
 
-    /// @param settings Limits.
+    /// @param settings Settings of the scope.
     explicit session_scope(const session_scope_settings& settings = {})
         : settings_(settings)
     {
     }
 
-    /// @param directory All agents.
-    /// @param demand What sessions are needed for.
-    /// @param now The time.
-    /// @return What has to change.
+    /// Determines the sessions to open and to end.
+    /// @param directory Addresses of all agents.
+    /// @param demand Current needs of the entry.
+    /// @param now Current time.
+    /// @return Changes to make.
     changes update(const agent_directory& directory,
                    const session_demand& demand, instant now);
 
-    /// @return Agents with which sessions are kept.
+    /// @return Number of agents with which sessions are kept.
     std::size_t size() const { return sessions_.size(); }
 
 private:
-    /// One session that is kept.
+    /// A session that is kept open.
     struct kept_session
     {
-        host_port address;                     ///< Address.
-        std::optional<instant> unneeded_since; ///< Nothing: it is needed.
+        host_port address; ///< Address of the agent.
+        /// Time at which the need ended; empty while the session is needed.
+        std::optional<instant> unneeded_since;
     };
 
-    /// What the last update rested on.
+    /// Inputs of an update, compared to skip updates without changes.
     struct update_inputs
     {
-        std::uint64_t directory = 0; ///< Its revision.
-        std::uint64_t sample = 0;    ///< Its revision.
-        bool every_agent = false;    ///< Whether all were needed.
+        std::uint64_t directory = 0; ///< Revision of the directory.
+        std::uint64_t sample = 0;    ///< Revision of the sample.
+        bool every_agent = false;    ///< Whether every agent was needed.
 
         bool operator==(const update_inputs&) const = default;
     };
@@ -91,10 +95,12 @@
                       const session_demand& demand, bool every_agent,
                       instant now, changes& out);
 
-    session_scope_settings settings_;              ///< Limits.
-    std::map<std::string, kept_session> sessions_; ///< By agent.
-    std::optional<update_inputs> last_inputs_;     ///< Of the last update.
-    bool lingering_ = false; ///< Some session is kept without need.
+    session_scope_settings settings_;
+    /// Kept sessions by agent name.
+    std::map<std::string, kept_session> sessions_;
+    std::optional<update_inputs> last_inputs_; ///< Inputs of the last update.
+    /// Whether a session is kept that is no longer needed.
+    bool lingering_ = false;
 };
 
 } // namespace glenhollow
--- a/tests/unit/hosting/host_groups_tests.cpp
+++ b/tests/unit/hosting/host_groups_tests.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("agents are divided alike in whatever order they are known")
+TEST_CASE("agent groups do not depend on the order of the agents")
 {
     auto names = agents(53);
     const auto groups = divide_agents(names, 7);
@@ -46,7 +46,7 @@
     }
 }
 
-TEST_CASE("few agents are one group, none are no group")
+TEST_CASE("few agents form one group and no agents form none")
 {
     CHECK(divide_agents({}, 7).empty());
     CHECK(divide_agents(agents(1), 7).size() == 1);
@@ -55,7 +55,7 @@
     CHECK(divide_agents(agents(3), 1).size() == 3);
 }
 
-TEST_CASE("one agent more moves at most one across each cut")
+TEST_CASE("an added agent moves at most one agent across each cut")
 {
     const auto before = group_by_agent(divide_agents(agents(53), 7));
     const auto after = group_by_agent(divide_agents(agents(54), 7));
@@ -65,7 +65,7 @@
     CHECK(moved <= 7);
 }
 
-TEST_CASE("a group keeps its host while that is able, and gets it back")
+TEST_CASE("the host of a group changes only while it is not eligible")
 {
     const host_group group{agents(7)};
     const auto all = [](const std::string&) { return true; };
@@ -79,14 +79,14 @@
     CHECK(choose_host(group, [](const std::string&) { return false; }).empty());
 }
 
-TEST_CASE("jobs are drawn to hosts by their weights, a job again to the same")
+TEST_CASE("hosts get jobs by weight, and a job always gets the same host")
 {
     const std::vector<host_choice> choices{{"a", 1}, {"b", 3}, {"c", 0}};
     std::array<int, 3> drawn{};
     for (job_id job = 1; job <= 4000; ++job)
     {
         const auto host = draw_host(job, choices);
-        REQUIRE(host < 2); // "c" weighs nothing.
+        REQUIRE(host < 2); // "c" has weight 0.
         CHECK(draw_host(job, choices) == host);
         ++drawn[host];
     }
@@ -96,7 +96,7 @@
     CHECK(draw_host(7, {}) == 0);
 }
 
-TEST_CASE("a host that weighs more draws no job away from another but to it")
+TEST_CASE("a higher host weight moves jobs only to that host")
 {
     const std::vector<host_choice> before{{"a", 1}, {"b", 1}, {"c", 1}};
     const std::vector<host_choice> after{{"a", 1}, {"b", 2}, {"c", 1}};
--- a/tests/unit/hosting/job_handover_tests.cpp
+++ b/tests/unit/hosting/job_handover_tests.cpp
@@ -1,4 +1,5 @@
-// An entry, a host at an agent's process and its backend server, over links.
+// Tests of the job handover between an entry, a job host and its backend server
+// over real connections.
 #include "glenhollow/core/run_after.hpp"
 #include "glenhollow/hosting/job_handover.hpp"
 #include "glenhollow/hosting/job_host_server.hpp"
@@ -17,7 +18,7 @@
 constexpr duration step_time = milliseconds{2};
 constexpr std::uint32_t small_entry = 1;
 
-/// Hears agents and wants nothing of them.
+/// Ignores all agent events.
 struct idle_listener : agent_session_listener
 {
     void agent_attached(const std::string&, const runner_report&) override {}
@@ -49,7 +50,7 @@
     }
 };
 
-/// One entry that hands jobs over.
+/// An entry that hands jobs over.
 struct test_entry
 {
     test_entry(rpc_loop& loop, const std::string& name,
@@ -99,7 +100,8 @@
     bool frozen = false;
 };
 
-/// Plays until a condition holds; a deadlock is left to the test's timeout.
+/// Two entries, a job host and one agent. Runs until a condition holds; a
+/// deadlock runs into the test's timeout.
 struct hosting_fixture
 {
     hosting_fixture()
@@ -220,14 +222,14 @@
     test_entry entry{loop, "entry", {}};
     test_entry other{loop, "other", {}};
     std::function<bool()> done_condition;
-    std::optional<job_reply> reply; ///< To the job's caller.
-    int local_runs = 0;             ///< Jobs that came back to their entry.
+    std::optional<job_reply> reply; ///< Reply to the job's caller.
+    int local_runs = 0;             ///< Jobs that were returned to their entry.
     instant stepped{};
 };
 
 } // namespace
 
-TEST_CASE("a job that is handed over runs at the host's agents, once")
+TEST_CASE("a job that is handed over runs once at the host's agents")
 {
     hosting_fixture fixture;
     bool submitted = false;
@@ -250,7 +252,7 @@
     CHECK(fixture.local_runs == 0);
 }
 
-TEST_CASE("a job that nobody could have admitted comes back and runs nowhere")
+TEST_CASE("an invalid job is returned by the host and does not run")
 {
     hosting_fixture fixture;
     auto invalid = hosting_fixture::job(7);
@@ -265,7 +267,7 @@
     CHECK(fixture.runner.started[7] == 0);
 }
 
-TEST_CASE("the same job over two entries runs once at their host")
+TEST_CASE("a job that two entries submit runs once at their host")
 {
     hosting_fixture fixture;
     bool first = false;
@@ -308,7 +310,7 @@
     CHECK(fixture.host->open_jobs() == 0);
 }
 
-TEST_CASE("a cancelled job is stopped, and its caller is told so")
+TEST_CASE("a cancelled job is stopped and reported as cancelled")
 {
     hosting_fixture fixture;
     bool submitted = false;
@@ -332,7 +334,7 @@
     CHECK(!fixture.entry.handover->cancel(8, [](const job_reply&) {}));
 }
 
-TEST_CASE("a job that comes again after its end is answered, not run anew")
+TEST_CASE("a job that is resubmitted after its end is answered and not rerun")
 {
     hosting_fixture fixture;
     bool submitted = false;
@@ -349,7 +351,8 @@
                                       run_outcome::done);
             if (!fixture.reply || resubmitted)
                 return resubmitted;
-            fixture.reply.reset(); // It was lost on its way to the caller.
+            fixture.reply
+                .reset(); // The reply was lost on its way to the caller.
             resubmitted =
                 fixture.submit(fixture.entry, hosting_fixture::job(7));
             CHECK(fixture.entry.handover->cancel(7, [&](const job_reply& got)
@@ -364,14 +367,14 @@
     CHECK(fixture.runner.started[7] == 1);
 }
 
-TEST_CASE("ends are remembered for a while, and not too many")
+TEST_CASE("recorded ends are limited in age and number")
 {
     recent_ends_settings settings;
     settings.max_jobs = 2;
     recent_ends ends(settings);
     ends.record(1, job_state::succeeded, seconds{1});
     ends.record(2, job_state::failed, seconds{2});
-    ends.record(2, job_state::succeeded, seconds{3}); // The first word counts.
+    ends.record(2, job_state::succeeded, seconds{3}); // The first end counts.
     CHECK(ends.find(1) == job_state::succeeded);
     CHECK(ends.find(2) == job_state::failed);
     ends.record(3, job_state::cancelled, seconds{4});
@@ -384,7 +387,7 @@
     CHECK(ends.find(3));
 }
 
-TEST_CASE("a host without room gives a job back that another has room for")
+TEST_CASE("a host without room returns a job if asked to")
 {
     hosting_fixture fixture;
     test_entry asking{fixture.loop, "asking", {}};
@@ -428,7 +431,7 @@
     CHECK(fixture.runner.started[8] == 0);
 }
 
-TEST_CASE("an agent that stopped hosts again once it is back")
+TEST_CASE("an agent that stopped and restarted becomes a host again")
 {
     hosting_fixture fixture;
     bool submitted = false;
@@ -450,7 +453,7 @@
                                       run_outcome::done);
             if (fixture.reply && !std::exchange(ended, true))
             {
-                // Its process ends, and the next one hosts.
+                // The process ends and its successor becomes the host.
                 fixture.host->close();
                 fixture.server.reset();
                 fixture.host.reset();
@@ -463,7 +466,7 @@
     CHECK(fixture.reply->state == job_state::succeeded);
 }
 
-TEST_CASE("a cancel is answered although its host is lost")
+TEST_CASE("a cancel is answered when its host is lost")
 {
     hosting_fixture fixture;
     bool submitted = false;
@@ -488,7 +491,7 @@
     CHECK(fixture.reply->outcome == job_outcome::unknown);
 }
 
-TEST_CASE("a host tells that it stood still until its next tick")
+TEST_CASE("a host reports its suspension until its next tick")
 {
     manual_loop loop;
     rpc_loop links;
@@ -502,14 +505,14 @@
     CHECK_FALSE(host.paused());
     loop.advance(milliseconds{500});
     CHECK(host.paused());
-    host.tick(); // Before what came meanwhile is read.
+    host.tick(); // Runs before calls that arrived meanwhile are handled.
     CHECK(host.paused());
     loop.advance(milliseconds{50});
     host.tick();
     CHECK_FALSE(host.paused());
 }
 
-TEST_CASE("an entry that keeps its jobs knows those that hosts have")
+TEST_CASE("an entry knows the jobs that it handed over")
 {
     hosting_fixture fixture;
     bool submitted = false;
@@ -525,7 +528,7 @@
     CHECK(!fixture.entry.handover->knows(8));
 }
 
-TEST_CASE("what a silent entry handed over is stopped")
+TEST_CASE("the jobs of a silent entry are stopped")
 {
     hosting_fixture fixture;
     bool submitted = false;
@@ -540,11 +543,11 @@
             return fixture.entry.frozen && fixture.runner.running.empty();
         });
     CHECK(fixture.host->open_jobs() == 0);
-    // It has begun: it is not said that it has not run.
+    // The job has started, so it must not be reported as not run.
     CHECK((!fixture.reply || fixture.reply->outcome == job_outcome::unknown));
 }
 
-TEST_CASE("a host that takes no more jobs gives them back, with nothing done")
+TEST_CASE("a stopping host returns jobs without running them")
 {
     hosting_fixture fixture;
     bool submitted = false;
@@ -564,7 +567,7 @@
     CHECK(fixture.entry.handover->open_jobs() == 0);
 }
 
-TEST_CASE("of a job that is lost with its host nothing is said to have not run")
+TEST_CASE("a job that is lost with its host has an unknown outcome")
 {
     hosting_fixture fixture;
     bool submitted = false;
@@ -584,7 +587,7 @@
     CHECK(fixture.entry.handover->open_jobs() == 0);
 }
 
-TEST_CASE("a job that no group's labels suit is not handed over")
+TEST_CASE("a job whose required label no group has is not handed over")
 {
     hosting_fixture fixture;
     auto requiring = hosting_fixture::job(7);
@@ -602,7 +605,7 @@
     CHECK(!fixture.submit(fixture.entry, requiring));
 }
 
-TEST_CASE("a strong entry, and one that is told so, keeps its jobs")
+TEST_CASE("a strong entry and an entry in mode never keep their jobs")
 {
     hosting_fixture fixture;
     job_handover_settings never;
@@ -617,20 +620,20 @@
             return hosted;
         });
     CHECK(!never_entry.handover->active());
-    // One agent: 12 thousandths of a core are enough.
+    // An entry with 12 millicores per agent keeps its jobs.
     fixture.entry.handover->tick({1, 12});
     CHECK(!fixture.entry.handover->active());
     fixture.entry.handover->tick({1, 11});
     CHECK(fixture.entry.handover->hosts() <= 1);
 }
 
-TEST_CASE("only a job whose label no sampled group has needs other agents")
+TEST_CASE("only a label that no sampled group has counts as missing")
 {
     hosting_fixture fixture;
     auto unlabelled = hosting_fixture::job(7);
     auto labelled = hosting_fixture::job(8);
     labelled.steps[0].label = "missing";
-    // Nobody is attached yet: it is not known who has the label.
+    // No host is linked yet, so the labels are unknown.
     CHECK(!fixture.submit(fixture.entry, labelled));
     CHECK(!fixture.entry.handover->lacks_label());
     bool unlabelled_checked = false;
--- a/tests/unit/membership/membership_tests.cpp
+++ b/tests/unit/membership/membership_tests.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("changes of the list are applied, repeats change nothing")
+TEST_CASE("changes of the list are applied and repeated ones ignored")
 {
     membership members;
     int changes = 0;
@@ -30,7 +30,7 @@
     members.apply({gone});
     REQUIRE(changes == 2);
     REQUIRE_FALSE(members.find("r1"));
-    // What a peer knows fills gaps but does not overrule the list.
+    // VMs that a peer knows are added, but do not replace listed ones.
     auto other = runner("r2", "h9");
     members.add_unknown({other, runner("r3")});
     REQUIRE(members.find("r2")->hall == "h1");
@@ -71,7 +71,8 @@
 
 } // namespace
 
-TEST_CASE("every runner of a full-size hall has the same number of entries")
+TEST_CASE(
+    "every backend server of a hall is linked to the same number of entries")
 {
     const auto entries = entries_of(2, 16);
     const auto runners = runners_of(2, 508);
@@ -89,12 +90,12 @@
     REQUIRE(links.size() == runners.size());
     for (const auto& [name, count] : links)
         REQUIRE(count == 6);
-    // 1016 x 6 / 32 is 190.5 on average.
+    // The average is 1016 * 6 / 32 = 190.5 links.
     REQUIRE(min_links > 150);
     REQUIRE(max_links < 230);
 }
 
-TEST_CASE("a new entry moves few links of the others")
+TEST_CASE("a new entry moves few links of the other entries")
 {
     auto entries = entries_of(1, 16);
     const auto runners = runners_of(1, 508);
@@ -109,14 +110,14 @@
     REQUIRE(before.size() - after.size() < 20);
 }
 
-TEST_CASE("with few entries all link to all")
+TEST_CASE("few entries link to all backend servers")
 {
     const auto entries = entries_of(1, 3);
     const auto runners = runners_of(1, 10);
     REQUIRE(link_subset("e1-2", entries, runners, {}).size() == 10);
 }
 
-TEST_CASE("all rank candidates alike")
+TEST_CASE("the ranking does not depend on the order of the candidates")
 {
     const auto one = rendezvous_order("key", {"a", "b", "c"});
     const auto other = rendezvous_order("key", {"c", "a", "b"});
--- a/tests/unit/overlay/dissemination_tests.cpp
+++ b/tests/unit/overlay/dissemination_tests.cpp
@@ -1,5 +1,5 @@
-// What a new fact costs each entry, and when all have learned it, by the
-// objects that decide it, from few entries to many times today's fleet.
+// Tests of the cost and the duration of spreading a fact to all entries, at
+// several sizes of the deployment.
 #include "glenhollow/core/clock.hpp"
 #include "glenhollow/durable/exchange_pacing.hpp"
 #include "glenhollow/overlay/gossip_fanout.hpp"
@@ -19,8 +19,8 @@
 
 constexpr duration one_way_delay = milliseconds{5};
 
-/// Entries that tell each other one fact: at once by gossip, and by the regular
-/// exchanges with one peer after the other.
+/// Entries that spread one fact by gossip and by periodic exchanges with one
+/// peer after another.
 class gossiping_entries
 {
 public:
@@ -47,7 +47,8 @@
         }
     }
 
-    /// @return When the last entry learned what the first one knew at zero.
+    /// @return Time after which all entries know a fact that one learned at
+    /// time 0.
     duration spread_time()
     {
         const auto peers = learned_.size() - 1;
@@ -80,7 +81,7 @@
     }
 
 private:
-    /// Each entry exchanges with the next of its peers; both sides are told.
+    /// Each entry exchanges with its next peer; both sides learn the fact.
     void exchange_all(std::size_t round, instant now)
     {
         const auto before = learned_;
@@ -94,16 +95,18 @@
         }
     }
 
-    std::vector<bool> learned_;                    ///< By entry.
-    std::vector<std::size_t> sent_counts_;         ///< Peers, by gossip.
-    std::vector<gossip_fanout> fanouts_;           ///< By entry.
-    std::multimap<instant, std::size_t> arrivals_; ///< On their way.
-    std::size_t informed_ = 0;                     ///< Entries.
+    std::vector<bool> learned_; ///< Whether an entry knows the fact.
+    /// Gossip messages sent by each entry.
+    std::vector<std::size_t> sent_counts_;
+    std::vector<gossip_fanout> fanouts_; ///< Gossip fanout of each entry.
+    /// Messages on their way, by time of arrival.
+    std::multimap<instant, std::size_t> arrivals_;
+    std::size_t informed_ = 0; ///< Number of entries that know the fact.
 };
 
 } // namespace
 
-TEST_CASE("peers are drawn once each, all where there are few")
+TEST_CASE("gossip draws distinct peers, and all of them if there are few")
 {
     gossip_fanout fanout({4, 7});
     const std::vector<int> few{1, 2, 3};
@@ -119,15 +122,14 @@
         for (const auto peer : drawn)
             ++times[peer];
     }
-    CHECK(times.size() == many.size()); // Nobody is left out.
+    CHECK(times.size() == many.size()); // Every peer is drawn at some time.
 }
 
-// A configuration made each entry exchange with each other one: at 184 entries
-// 366 exchanges at each, half a second of what a small one may use.
-TEST_CASE(
-    "a fact costs an entry a few messages, however many entries there are")
+// Guards against a fact costing each entry one exchange with every other entry.
+TEST_CASE("the messages per entry for a fact do not grow with the entries")
 {
-    // In force everywhere within 2 s where the bounds are narrowest.
+    // Half of the shortest time by which a configuration must be in force
+    // everywhere.
     constexpr duration max_spread_time = seconds{1};
     for (const std::size_t entries : {23, 92, 367, 734})
     {
--- a/tests/unit/overlay/feed_pacing_tests.cpp
+++ b/tests/unit/overlay/feed_pacing_tests.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-/// Answers a feed as soon as a row changes, as the platform's store does.
+/// Answers a feed as soon as a row changes, like the platform's store.
 class long_poll_store final : public row_store
 {
 public:
@@ -48,15 +48,15 @@
             rows_.follow(one.table, one.after, {}, std::move(one.done));
     }
 
-    std::size_t feeds = 0; ///< Calls.
+    std::size_t feeds = 0; ///< Number of feed calls.
 
 private:
-    /// One that waits for a change.
+    /// A feed call that waits for a change.
     struct waiting_feed
     {
-        std::string table;       ///< Kind of row.
-        std::uint64_t after = 0; ///< Version.
-        feed_handler done;       ///< Told of changes.
+        std::string table;
+        std::uint64_t after = 0; ///< Version after which changes are wanted.
+        feed_handler done;       ///< Receives the changes.
     };
 
     fake_row_store rows_;
@@ -64,7 +64,7 @@
     std::vector<waiting_feed> waiting_;
 };
 
-/// Counts the calls that readers make while one row after the other changes.
+/// Counts the feed calls of all readers while rows change one after another.
 std::size_t reads_during_burst(std::size_t readers, std::size_t changes,
                                duration between)
 {
@@ -90,30 +90,30 @@
     }
     loop.advance(2 * feed_interval({}, readers));
     for (const auto& known : rows)
-        CHECK(known.size() == changes); // Nobody misses one.
+        CHECK(known.size() == changes); // No reader misses a change.
     return store.feeds - before;
 }
 
 } // namespace
 
-// At the start of 1,000 processes each of 184 entries read each of their rows
-// by itself.
-TEST_CASE("readers of a table that changes all the time share a budget")
+// Guards against store calls that grow with readers times changes, as in a
+// simultaneous start of many processes.
+TEST_CASE("readers of a table that changes constantly share a call budget")
 {
     constexpr std::size_t changes = 400;
     constexpr duration between = milliseconds{5};
     const auto spent = std::chrono::duration<double>(changes * between).count();
-    constexpr double calls_per_s = 200; // Of all readers.
+    constexpr double calls_per_s = 200; // Calls of all readers together.
     for (const std::size_t readers : {8, 50, 184})
     {
         const auto reads = reads_during_burst(readers, changes, between);
-        // The first and the last change may cost each reader one call more.
+        // The first and the last change may cost each reader one more call.
         CHECK(static_cast<double>(reads) <=
               calls_per_s * spent + 3.0 * static_cast<double>(readers));
     }
 }
 
-TEST_CASE("few readers hear of a change at once, many within seconds")
+TEST_CASE("the feed interval grows with the readers up to its maximum")
 {
     CHECK(feed_interval({}, 3) == milliseconds{20});
     CHECK(feed_interval({}, 184) == milliseconds{920});
--- a/tests/unit/overlay/peer_connect_tests.cpp
+++ b/tests/unit/overlay/peer_connect_tests.cpp
@@ -1,4 +1,4 @@
-// What entries that are away cost another entry.
+// Tests of the connection attempts to peers that are unreachable.
 #include "glenhollow/durable/entry_peers.hpp"
 #include "unit/support/idle_entry.hpp"
 #include "unit/support/manual_loop.hpp"
@@ -14,7 +14,7 @@
 
 constexpr duration tick_interval = milliseconds{50};
 
-/// An entry all of whose peers are away: their machines refuse connections.
+/// An entry whose peers all refuse connections.
 struct isolated_entry
 {
     explicit isolated_entry(std::size_t count)
@@ -44,8 +44,8 @@
 
 } // namespace
 
-// With 100 of 184 entries killed, each of the others tried 250 times a second.
-TEST_CASE("attempts to connect do not grow with the entries that are away")
+// Guards against a rate of attempts that grows with the number of lost peers.
+TEST_CASE("connection attempts do not grow with the unreachable entries")
 {
     constexpr auto length = seconds{10};
     const connect_budget budget;
@@ -58,7 +58,7 @@
     }
 }
 
-TEST_CASE("each entry that is away is tried in its turn")
+TEST_CASE("each unreachable entry is tried in turn")
 {
     constexpr std::size_t unreachable = 367;
     isolated_entry entry(unreachable);
--- a/tests/unit/overlay/session_scope_tests.cpp
+++ b/tests/unit/overlay/session_scope_tests.cpp
@@ -1,4 +1,5 @@
-// How many sessions entries and agents have, and when sessions begin and end.
+// Tests of the number of sessions between entries and agents, and of their
+// start and end.
 #include "glenhollow/hosting/host_groups.hpp"
 #include "glenhollow/hosting/job_handover.hpp"
 #include "glenhollow/overlay/session_scope.hpp"
@@ -25,7 +26,7 @@
     return out;
 }
 
-/// Demand of an entry that hands its jobs over.
+/// An entry that hands its jobs over to sampled agents.
 struct sampling_entry
 {
     std::set<std::string> sample{"agent-1", "agent-2"};
@@ -36,7 +37,7 @@
 
 using names = std::vector<std::string>;
 
-/// Sessions of one fleet whose entries all hand their jobs over.
+/// Sessions of a deployment whose entries all hand their jobs over.
 struct sampled_deployment
 {
     sampled_deployment(std::size_t entries, std::size_t agents)
@@ -64,12 +65,13 @@
 
     std::map<std::size_t, std::size_t> entries_of_group;
     std::size_t group_count = 0;
-    std::size_t max_sessions = 0; ///< Of one entry, with agents.
+    /// Maximum number of sessions of one entry with agents.
+    std::size_t max_sessions = 0;
 };
 
 } // namespace
 
-TEST_CASE("sessions are kept with the sampled agents alone")
+TEST_CASE("sessions are kept with the sampled agents only")
 {
     sampling_entry entry;
     auto directory = directory_of(5);
@@ -90,8 +92,7 @@
     CHECK(entry.scope.size() == 1);
 }
 
-TEST_CASE("a session that is not needed any more ends after a while, unless it "
-          "is in use")
+TEST_CASE("an unneeded session ends after a delay unless it is in use")
 {
     sampling_entry entry;
     const auto directory = directory_of(5);
@@ -121,11 +122,11 @@
     CHECK(changes.open == names{"agent-0", "agent-3", "agent-4"});
 }
 
-// Each entry had a session with each agent: 151,000 at 184 entries and 823
-// agents, all made anew at once after a loss of power.
-TEST_CASE("sessions of a process do not grow with the fleet")
+// Guards against sessions of every entry with every agent, which would all
+// reconnect at once after a power loss.
+TEST_CASE("the sessions of a process do not grow with the deployment")
 {
-    // VMs: 125, 500, 2,000 and 4,000, a fifth to a quarter of them entries.
+    // Deployments of 125, 500, 2,000 and 4,000 VMs.
     const std::map<std::size_t, std::size_t> agents_by_entries{
         {23, 102}, {92, 408}, {367, 1633}, {734, 3266}};
     constexpr std::size_t max_at_entry = 300;
@@ -140,7 +141,7 @@
     }
 }
 
-TEST_CASE("where entries are few, each takes more groups, so that all are used")
+TEST_CASE("few entries sample more groups each, so that all are covered")
 {
     const job_handover_settings settings;
     CHECK(groups_per_entry(settings, 118, 184) == settings.sampled_groups);
@@ -149,7 +150,7 @@
           943 * settings.entries_per_group);
 }
 
-TEST_CASE("one agent more changes few sessions")
+TEST_CASE("an added agent changes few sessions")
 {
     const auto sampled = [](std::size_t count)
     {
@@ -164,7 +165,7 @@
         return out;
     };
     constexpr std::size_t first = 700;
-    constexpr std::size_t last = 770; // Ten of these add a group.
+    constexpr std::size_t last = 770; // Ten of these agents add a group.
     std::size_t sessions = 0;
     std::size_t changed = 0;
     auto before = sampled(first);
@@ -181,7 +182,7 @@
     CHECK(changed * 10 <= sessions);
 }
 
-TEST_CASE("a sample holds each group at most once, all where they are few")
+TEST_CASE("a sample holds distinct groups, and all of them if there are few")
 {
     CHECK(sample_groups("entry", 3, 32) == std::vector<std::size_t>{0, 1, 2});
     CHECK(sample_groups("entry", 0, 32).empty());
