--- a/programs/durable_entry.cpp
+++ b/programs/durable_entry.cpp
@@ -115,7 +115,7 @@
         out.dispatch.review_interval = milliseconds{settings_.review_ms};
         out.dispatch.late_reserve = settings_.late_reserve;
         out.dispatch.order = settings_.order;
-        out.cancellation.remember.keep = seconds{settings_.cancel_memory_s};
+        out.cancellation.cache.retention = seconds{settings_.cancel_memory_s};
         out.power = settings_.cpu_share * settings_.cores;
         out.dispatch.far_factor = settings_.far_factor;
         out.catalog = platform::operator_configuration();
--- a/programs/durable_entry.hpp
+++ b/programs/durable_entry.hpp
@@ -30,7 +30,7 @@
     unsigned review_ms = 10;            ///< See dispatcher_settings.
     unsigned warm_up_ms = 500;          ///< See early_request_settings.
     double late_reserve = 0.15;         ///< See dispatcher_settings.
-    unsigned cancel_memory_s = 60;      ///< See remembered_cancels_settings.
+    unsigned cancel_memory_s = 60;      ///< See cancel_cache_settings.
     server_order order = server_order::fastest; ///< See dispatcher_settings.
     bool own_placement = false;     ///< Never placed by another entry.
     job_handover_settings handover; ///< Of jobs to agents' processes.
--- a/src/glenhollow/durable/agent_view.cpp
+++ b/src/glenhollow/durable/agent_view.cpp
@@ -108,7 +108,7 @@
 
 bool agent_view::has_room(const resources& needs) const
 {
-    return used().leaves_room(needs, report_.account.capacity);
+    return used().can_fit(needs, report_.account.capacity);
 }
 
 bool agent_view::has_label(const std::string& label) const
--- a/src/glenhollow/durable/dispatcher.cpp
+++ b/src/glenhollow/durable/dispatcher.cpp
@@ -24,9 +24,9 @@
     return static_cast<int>(std::lround(std::log2(pace) * classes_of_pace));
 }
 
-bool is_bad(run_outcome how)
+bool is_bad(run_outcome outcome)
 {
-    return how == run_outcome::failed || how == run_outcome::stopped;
+    return outcome == run_outcome::failed || outcome == run_outcome::stopped;
 }
 
 } // namespace
@@ -124,16 +124,16 @@
         step.estimate_ms *
         (view.has_label(step.preferred_label) ? 1.0 : settings_.far_factor);
     // Stopped because its runner leaves, it says nothing of the runner.
-    if (end.how == run_outcome::stopped && view.leaving())
+    if (end.outcome == run_outcome::stopped && view.leaving())
         return;
-    if (end.how == run_outcome::done && expected_ms > 0 &&
+    if (end.outcome == run_outcome::done && expected_ms > 0 &&
         !view.cold(clock_.now()))
-        view.note_pace(end.micros / (micros_a_ms * expected_ms));
-    if (end.how != run_outcome::done && !is_bad(end.how))
+        view.note_pace(end.duration_us / (micros_a_ms * expected_ms));
+    if (end.outcome != run_outcome::done && !is_bad(end.outcome))
         return;
-    if (view.note_end(is_bad(end.how), clock_.now(), settings_.health))
+    if (view.note_end(is_bad(end.outcome), clock_.now(), settings_.health))
         log_change(log_level::warning, "runner_ejected",
-                   {{"agent", agent}, {"last_end", to_name(end.how)}});
+                   {{"agent", agent}, {"last_end", to_name(end.outcome)}});
 }
 
 void dispatcher::enqueue(ready_task task)
--- a/src/glenhollow/durable/durable_cancels.cpp
+++ b/src/glenhollow/durable/durable_cancels.cpp
@@ -7,19 +7,19 @@
 std::function<void()> durable_service::submit(const job_definition& job,
                                               job_reply_handler done)
 {
-    if (job.lasts == durability::in_memory)
+    if (job.durability_class == durability::in_memory)
     {
         if (const auto ended = end_of_cancelled(job.id))
         {
             done({job_outcome::done, *ended, {}});
             return {};
         }
-        const auto here =
-            [this](const job_definition& taken, job_reply_handler told)
-        { submit_here(taken, std::move(told)); };
-        const bool stays =
+        const auto run_locally =
+            [this](const job_definition& submitted, job_reply_handler on_reply)
+        { submit_here(submitted, std::move(on_reply)); };
+        const bool must_run_locally =
             memory_.knows(job.id) || (refusing_ && !handover_.knows(job.id));
-        if (stays || !handover_.submit(job, done, here))
+        if (must_run_locally || !handover_.submit(job, done, run_locally))
             submit_here(job, std::move(done));
         return [this, alive = alive_, id = job.id]
         {
@@ -48,7 +48,7 @@
     schedule_dispatch();
 }
 
-bool durable_service::cancel_here(job_id id, job_reply_handler done)
+bool durable_service::cancel_local(job_id id, job_reply_handler done)
 {
     if (!memory_.knows(id))
         return handover_.cancel(id, std::move(done));
@@ -63,19 +63,21 @@
     peers_.call(name, {job_verb::cancel_in_memory, id, {}}, std::move(done));
 }
 
-void durable_service::pass_on(const std::string& by, const std::string& name,
-                              job_id id, answer_handler done)
+void durable_service::relay_cancel(const std::string& by,
+                                   const std::string& name, job_id id,
+                                   answer_handler done)
 {
     peers_.call(by, {job_verb::cancel_in_memory, id, {}, name},
                 std::move(done));
 }
 
-void durable_service::fetch(const std::string& name, told_handler done)
+void durable_service::fetch_cancels(const std::string& name,
+                                    cancel_records_handler done)
 {
     peers_.fetch_cancelled(name, std::move(done));
 }
 
-std::vector<told_cancel> durable_service::cancelled_jobs()
+std::vector<cancel_record> durable_service::cancelled_jobs()
 {
     return cancellation_.remembered();
 }
@@ -85,7 +87,7 @@
 {
     if (memory_.knows(id))
         return std::nullopt;
-    return cancellation_.refuse(id);
+    return cancellation_.reject_if_cancelled(id);
 }
 
 memory_cancellation::journal_cancel durable_service::cancel_kept()
@@ -108,31 +110,32 @@
         count("cancels_total", "Cancels answered", stats.outcomes[i],
               "outcome=\"" + std::string(to_name(outcome)) + "\"");
     }
-    const auto& bounds = memory_cancellation_stats::age_bounds_ms;
-    for (std::size_t i = 0; i < stats.ages.size(); ++i)
+    const auto& bounds = memory_cancellation_stats::reply_time_bounds_ms;
+    for (std::size_t i = 0; i < stats.reply_times.size(); ++i)
     {
         const auto up_to =
             i < bounds.size() ? std::to_string(bounds[i]) : "more";
         count("cancels_by_age_total", "Cancels answered within so many ms",
-              stats.ages[i], "up_to_ms=\"" + up_to + "\"");
+              stats.reply_times[i], "up_to_ms=\"" + up_to + "\"");
     }
-    count("cancels_told_total", "Cancels told to other entries", stats.told);
+    count("cancels_told_total", "Cancels told to other entries",
+          stats.on_reply);
     count("cancels_untold_total", "Of these, lost and told again",
-          stats.untold);
+          stats.unacknowledged);
     count("cancels_passed_on_total", "Cancels told by way of another entry",
-          stats.passed_on);
+          stats.relayed);
     count("cancels_heard_total", "Cancels that other entries told",
           stats.heard);
     count("cancels_learned_total", "Cancels from before this process",
-          stats.learned);
+          stats.fetched);
     count("cancels_silent_entries_total", "Entries waited for in vain",
-          stats.silent);
+          stats.timed_out);
     count("cancelled_jobs_ran_on_total", "Found after their cancel's answer",
-          stats.ran_on);
+          stats.ran_after_reply);
     count("cancelled_jobs_not_run_total", "Submissions of cancelled jobs",
-          stats.not_run);
+          stats.rejected);
     count("cancels_crowded_out_total", "Forgotten early, for want of room",
-          cancellation_.memory().crowded_out());
+          cancellation_.memory().evictions());
     page.gauge("cancels_remembered", "Cancelled jobs in memory remembered",
                static_cast<double>(cancellation_.memory().size()));
 }
--- a/src/glenhollow/durable/durable_job.cpp
+++ b/src/glenhollow/durable/durable_job.cpp
@@ -62,8 +62,7 @@
     gpu -= std::min(gpu, other.gpu);
 }
 
-bool resources::leaves_room(const resources& more,
-                            const resources& capacity) const
+bool resources::can_fit(const resources& more, const resources& capacity) const
 {
     const auto fits = [](std::uint64_t a, std::uint64_t b, std::uint32_t all)
     { return a + b <= all; };
@@ -89,7 +88,7 @@
     return total;
 }
 
-std::uint64_t job_definition::longest_chain_ms() const
+std::uint64_t job_definition::critical_path_ms() const
 {
     std::vector<std::uint64_t> ends(steps.size(), 0);
     for (std::size_t i = 0; i < steps.size(); ++i)
@@ -102,7 +101,7 @@
     return ends.empty() ? 0 : *std::max_element(ends.begin(), ends.end());
 }
 
-double job_definition::widest_cores() const
+double job_definition::peak_cores() const
 {
     double most = 0;
     for (const auto& step : steps)
--- a/src/glenhollow/durable/durable_job.hpp
+++ b/src/glenhollow/durable/durable_job.hpp
@@ -71,7 +71,7 @@
     /// @param more What would come on top of this.
     /// @param capacity What there is.
     /// @return Whether both together stay within the capacity.
-    bool leaves_room(const resources& more, const resources& capacity) const;
+    bool can_fit(const resources& more, const resources& capacity) const;
 };
 
 /// Names one task of a durable job.
@@ -129,18 +129,19 @@
     std::uint32_t max_attempts = 1; ///< Runs of a task that may fail.
     std::int64_t accepted_ms = 0;   ///< Wall time, ms since 1970.
     std::int64_t objective_ms = 0;  ///< Wall time by which it should end.
-    std::int64_t give_up_ms = 0;    ///< Wall time after which an answer is
+    std::int64_t expiry_ms = 0;     ///< Wall time after which an answer is
                                     ///< worth nothing; 0: never.
-    durability lasts = durability::journalled; ///< How long it must last.
+    durability durability_class =
+        durability::journalled; ///< How long it must last.
 
     /// @return All tasks of all steps.
     std::size_t task_count() const;
 
     /// @return The longest chain of its steps by their estimates, ms.
-    std::uint64_t longest_chain_ms() const;
+    std::uint64_t critical_path_ms() const;
 
     /// @return Cores that its widest step takes at once.
-    double widest_cores() const;
+    double peak_cores() const;
 };
 
 /// Where a job stands.
@@ -189,10 +190,10 @@
 /// One run's end as its agent tells it.
 struct run_end
 {
-    run_ref run;                           ///< Which run.
-    run_outcome how = run_outcome::failed; ///< How it ended.
-    std::uint64_t number = 0;              ///< At its runner; 0: none.
-    std::uint32_t micros = 0;              ///< From start to end.
+    run_ref run;                               ///< Which run.
+    run_outcome outcome = run_outcome::failed; ///< How it ended.
+    std::uint64_t number = 0;                  ///< At its runner; 0: none.
+    std::uint32_t duration_us = 0;             ///< From start to end.
     bool claimed = true; ///< It ran under a lease of the entry that is told.
 };
 
@@ -213,7 +214,7 @@
 };
 
 /// What is kept of a job that has ended.
-struct job_epitaph
+struct ended_job
 {
     job_state state = job_state::succeeded; ///< Final.
     std::int64_t ended_ms = 0;              ///< Wall time, ms since 1970.
@@ -237,11 +238,11 @@
 
 /// @param end How a job ended.
 /// @return Its journal row.
-std::string encode_epitaph(const job_epitaph& end);
+std::string encode_ended_job(const ended_job& end);
 
 /// @param row A journal row.
 /// @return How it ended, or what is wrong with the row.
-result<job_epitaph> decode_epitaph(std::string_view row);
+result<ended_job> decode_ended_job(std::string_view row);
 
 } // namespace glenhollow
 
--- a/src/glenhollow/durable/durable_metrics.cpp
+++ b/src/glenhollow/durable/durable_metrics.cpp
@@ -72,7 +72,7 @@
     const auto count = [&page](std::string_view name, std::string_view help,
                                std::uint64_t value, const std::string& label)
     { page.counter(name, help, static_cast<double>(value), label); };
-    count("calls_here_total", "Tries at own parts", routed.here, {});
+    count("calls_here_total", "Tries at own parts", routed.local, {});
     count("calls_forwarded_total", "Tries at peers", routed.forwarded, {});
     count("calls_ownerless_total", "Tries without an owner", routed.ownerless,
           {});
--- a/src/glenhollow/durable/durable_service.cpp
+++ b/src/glenhollow/durable/durable_service.cpp
@@ -42,7 +42,7 @@
 
 job_coordinator_settings memory_of(const durable_service_settings& of)
 {
-    auto settings = for_jobs_in_memory(of.memory);
+    auto settings = memory_job_settings(of.memory);
     settings.entry = of.entry;
     settings.parts = of.parts;
     return settings;
@@ -218,21 +218,21 @@
 void durable_service::check_agents()
 {
     const auto now = clock_.now();
-    const auto limit = settings_.ownership.jobs.agent_silence;
+    const auto limit = settings_.ownership.jobs.agent_timeout;
     for (auto& [agent, silence] : agent_silence_)
     {
         const auto length = now - silence.since;
-        if (!silence.memory_ended && length > memory_agent_silence)
+        if (!silence.memory_ended && length > memory_agent_timeout)
         {
             silence.memory_ended = true;
-            memory_.agent_gone(agent);
+            memory_.on_agent_lost(agent);
         }
         if (silence.parts_ended || length <= limit)
             continue;
         silence.parts_ended = true;
         log_change(log_level::warning, "agent_given_up", {{"agent", agent}});
         ownership_.for_each([&agent = agent](job_coordinator& part)
-                            { part.agent_gone(agent); });
+                            { part.on_agent_lost(agent); });
     }
 }
 
@@ -422,10 +422,10 @@
         log_change(
             log_level::warning, "adoption_declined",
             {{"agent", agent}, {"part", part.part}, {"epoch", part.epoch}});
-        return jobs->verify();
+        return jobs->verify_ownership();
     }
     dispatcher_.adopted(agent, part.part);
-    jobs->account_of(agent, account);
+    jobs->reconcile_agent(agent, account);
     schedule_dispatch();
 }
 
@@ -507,9 +507,9 @@
 void durable_service::serve(const job_call& call, job_reply_handler done)
 {
     if (call.verb == job_verb::cancel_in_memory)
-        cancellation_.told(call.id, call.onward, std::move(done));
+        cancellation_.on_peer_cancel(call.id, call.onward, std::move(done));
     else
-        router_.serve_here(call, std::move(done));
+        router_.serve_locally(call, std::move(done));
     schedule_dispatch();
 }
 
--- a/src/glenhollow/durable/durable_service.hpp
+++ b/src/glenhollow/durable/durable_service.hpp
@@ -75,7 +75,7 @@
 class durable_service final : public durable_jobs,
                               private agent_session_listener,
                               private entry_peer_handler,
-                              private memory_job_holder,
+                              private local_memory_jobs,
                               private cancel_peers,
                               private part_ownership_listener,
                               private task_source
@@ -170,15 +170,16 @@
     void peer_seen(const entry_view& view) override;
     void serve(const job_call& call, job_reply_handler done) override;
     std::string catalog_document() override { return queues_.document(); }
-    std::vector<told_cancel> cancelled_jobs() override;
+    std::vector<cancel_record> cancelled_jobs() override;
 
-    bool cancel_here(job_id id, job_reply_handler done) override;
-    std::vector<peer_reach> all() const override { return peers_.reach(); }
+    bool cancel_local(job_id id, job_reply_handler done) override;
+    std::vector<peer_status> all() const override { return peers_.reach(); }
     void cancel(const std::string& name, job_id id,
                 answer_handler done) override;
-    void pass_on(const std::string& by, const std::string& name, job_id id,
-                 answer_handler done) override;
-    void fetch(const std::string& name, told_handler done) override;
+    void relay_cancel(const std::string& by, const std::string& name, job_id id,
+                      answer_handler done) override;
+    void fetch_cancels(const std::string& name,
+                       cancel_records_handler done) override;
     std::optional<job_state> end_of_cancelled(job_id id);
     memory_cancellation::journal_cancel cancel_kept();
 
--- a/src/glenhollow/durable/entry_peers.cpp
+++ b/src/glenhollow/durable/entry_peers.cpp
@@ -83,7 +83,7 @@
     return {reinterpret_cast<const char*>(data.begin()), data.size()};
 }
 
-void fill_cancelled(wire::CancelledJob::Builder out, const told_cancel& known)
+void fill_cancelled(wire::CancelledJob::Builder out, const cancel_record& known)
 {
     out.setJob(known.id);
     out.setState(static_cast<std::uint8_t>(known.state));
@@ -92,7 +92,7 @@
         std::chrono::duration_cast<milliseconds>(known.age).count()));
 }
 
-told_cancel cancelled_from(wire::CancelledJob::Reader in)
+cancel_record cancelled_from(wire::CancelledJob::Reader in)
 {
     return {in.getJob(), from_index(in.getState(), job_state::cancelled),
             in.getFound(), milliseconds{in.getAgeMs()}};
@@ -503,9 +503,9 @@
     done(std::nullopt);
 }
 
-std::vector<peer_reach> entry_peers::reach() const
+std::vector<peer_status> entry_peers::reach() const
 {
-    std::vector<peer_reach> out;
+    std::vector<peer_status> out;
     out.reserve(peers_.size());
     for (const auto& [name, one] : peers_)
         out.push_back({name, one->remote != nullptr,
@@ -514,19 +514,19 @@
 }
 
 void entry_peers::fetch_cancelled(const std::string& name,
-                                  cancel_peers::told_handler done)
+                                  cancel_peers::cancel_records_handler done)
 {
     const auto known = peers_.find(name);
     if (known == peers_.end())
         return done(std::nullopt);
     KJ_IF_MAYBE (remote, known->second->remote)
     {
-        auto shared =
-            std::make_shared<cancel_peers::told_handler>(std::move(done));
+        auto shared = std::make_shared<cancel_peers::cancel_records_handler>(
+            std::move(done));
         known->second->link->add(remote->cancelledRequest().send().then(
             [shared](auto&& answer)
             {
-                std::vector<told_cancel> jobs;
+                std::vector<cancel_record> jobs;
                 for (auto job : answer.getJobs())
                     jobs.push_back(cancelled_from(job));
                 (*shared)(std::move(jobs));
--- a/src/glenhollow/durable/entry_peers.hpp
+++ b/src/glenhollow/durable/entry_peers.hpp
@@ -100,7 +100,7 @@
     virtual std::string catalog_document() = 0;
 
     /// @return Jobs in memory that it remembers as cancelled.
-    virtual std::vector<told_cancel> cancelled_jobs() { return {}; }
+    virtual std::vector<cancel_record> cancelled_jobs() { return {}; }
 
     /// @param entry Wants this entry to place its tasks.
     /// @param grants Told of places.
@@ -200,12 +200,12 @@
               answer_handler done);
 
     /// @return All that are known, live or not.
-    std::vector<peer_reach> reach() const;
+    std::vector<peer_status> reach() const;
 
     /// @param name The entry to ask.
     /// @param done Told the jobs in memory that it remembers as cancelled.
     void fetch_cancelled(const std::string& name,
-                         cancel_peers::told_handler done);
+                         cancel_peers::cancel_records_handler done);
 
     /// @param name An entry.
     /// @return Whether there is a connection to it.
--- a/src/glenhollow/durable/job_coordinator.cpp
+++ b/src/glenhollow/durable/job_coordinator.cpp
@@ -15,10 +15,10 @@
 {
 
 /// Run numbers of one owner lie within this many.
-constexpr std::uint32_t runs_an_epoch = 4096;
+constexpr std::uint32_t runs_per_epoch = 4096;
 
 /// When to come back where nothing better is known.
-constexpr duration refusal_wait = seconds{1};
+constexpr duration default_retry_after = seconds{1};
 
 constexpr std::int64_t millisecond = 1'000'000;
 
@@ -29,27 +29,27 @@
 
 } // namespace
 
-job_coordinator::job_coordinator(dependencies around, part_number part,
+job_coordinator::job_coordinator(dependencies dependencies, part_number part,
                                  const chain_head& head, loaded_part loaded,
-                                 std::set<std::string> awaited,
+                                 std::set<std::string> unreported_agents,
                                  const job_coordinator_settings& settings,
                                  std::function<void()> on_lost)
-    : around_(std::move(around)), part_(part), epoch_(head.epoch),
-      settings_(settings),
-      chain_(std::make_unique<journal_chain>(around_.store, around_.later, part,
-                                             head, settings.chain,
-                                             std::move(on_lost))),
-      awaited_(std::move(awaited)), claimed_(around_.clock.now())
+    : dependencies_(std::move(dependencies)), part_(part), epoch_(head.epoch),
+      settings_(settings), chain_(std::make_unique<journal_chain>(
+                               dependencies_.store, dependencies_.later, part,
+                               head, settings.chain, std::move(on_lost))),
+      unreported_agents_(std::move(unreported_agents)),
+      claimed_(dependencies_.clock.now())
 {
-    take(std::move(loaded));
-    if (awaited_.empty())
-        all_agents_told();
+    restore(std::move(loaded));
+    if (unreported_agents_.empty())
+        on_all_agents_reported();
 }
 
-job_coordinator::job_coordinator(dependencies around,
+job_coordinator::job_coordinator(dependencies dependencies,
                                  const job_coordinator_settings& settings)
-    : around_(std::move(around)), part_(memory_part), epoch_(0),
-      settings_(settings), claimed_(around_.clock.now())
+    : dependencies_(std::move(dependencies)), part_(memory_part), epoch_(0),
+      settings_(settings), claimed_(dependencies_.clock.now())
 {
 }
 
@@ -63,49 +63,51 @@
     return {std::string(table), part_name(part_), to_text(id)};
 }
 
-std::uint32_t job_coordinator::flat_index(const job_definition& job,
-                                          const task_ref& task) const
+std::uint32_t job_coordinator::index_of(const job_definition& job,
+                                        const task_ref& task) const
 {
     if (task.occurrence != 0 || task.step >= job.steps.size() ||
         task.index >= job.steps[task.step].count)
         return std::numeric_limits<std::uint32_t>::max();
-    std::uint32_t flat = task.index;
+    std::uint32_t task_index = task.index;
     for (std::uint32_t i = 0; i < task.step; ++i)
-        flat += job.steps[i].count;
-    return flat;
+        task_index += job.steps[i].count;
+    return task_index;
 }
 
 task_ref job_coordinator::ref_of(const job_definition& job,
-                                 std::uint32_t flat) const
+                                 std::uint32_t task_index) const
 {
-    task_ref task{job.id, 0, 0, flat};
+    task_ref task{job.id, 0, 0, task_index};
     while (task.index >= job.steps[task.step].count)
         task.index -= job.steps[task.step++].count;
     return task;
 }
 
 const job_step& job_coordinator::step_of(const job_definition& job,
-                                         std::uint32_t flat) const
+                                         std::uint32_t task_index) const
 {
-    return job.steps[ref_of(job, flat).step];
+    return job.steps[ref_of(job, task_index).step];
 }
 
 std::optional<job_coordinator::refusal>
-job_coordinator::refusal_of(const job_definition& job) const
+job_coordinator::check_admission(const job_definition& job) const
 {
     if (refusing_)
-        return refusal{reason::stopping, refusal_wait};
-    const double cores = around_.placing.ready_cores(job.service);
+        return refusal{reason::stopping, default_retry_after};
+    const double cores = dependencies_.task_dispatcher.ready_cores(job.service);
     if (cores <= 0 && warming_up())
         return std::nullopt;
     if (cores <= 0)
-        return refusal{reason::no_runner, refusal_wait};
+        return refusal{reason::no_runner, default_retry_after};
     const double objective =
-        static_cast<double>(job.objective_ms - around_.wall_ms());
-    if (around_.placing.free_cores(job.service) >= job.widest_cores())
+        static_cast<double>(job.objective_ms - dependencies_.wall_ms());
+    if (dependencies_.task_dispatcher.free_cores(job.service) >=
+        job.peak_cores())
         return std::nullopt;
-    const double wait = around_.placing.waiting_work(job.service) / cores;
-    if (wait <= settings_.hopeless * std::max(1.0, objective))
+    const double wait =
+        dependencies_.task_dispatcher.waiting_work(job.service) / cores;
+    if (wait <= settings_.max_wait_share * std::max(1.0, objective))
         return std::nullopt;
     return refusal{reason::deadline_unreachable,
                    milliseconds{static_cast<std::int64_t>(wait)}};
@@ -115,7 +117,7 @@
 /// meanwhile could have been served in time.
 bool job_coordinator::warming_up() const
 {
-    return !chain_ && around_.clock.now() - claimed_ < settings_.warm_up;
+    return !chain_ && dependencies_.clock.now() - claimed_ < settings_.warm_up;
 }
 
 void job_coordinator::submit(const job_definition& job, job_reply_handler done)
@@ -135,18 +137,18 @@
         else if (known->second.accepted)
             done({job_outcome::done, job_state::queued, {}});
         else
-            known->second.acceptance.push_back(std::move(done));
+            known->second.acceptance_waiters.push_back(std::move(done));
         return;
     }
     if (unreadable_.contains(job.id))
         return done({job_outcome::unknown, job_state::queued, {}});
-    if (const auto refused = refusal_of(job))
+    if (const auto refused = check_admission(job))
     {
         ++stats_.refused;
         log_change(log_level::info, "job_refused",
                    {{"job", to_text(job.id)},
                     {"queue", job.queue},
-                    {"reason", to_name(refused->why)},
+                    {"reason", to_name(refused->cause)},
                     {"wait_ms", to_ms(refused->wait)}});
         return done({job_outcome::refused, job_state::queued, refused->wait});
     }
@@ -155,7 +157,7 @@
     job_record record;
     record.job = job;
     record.tasks.resize(job.task_count());
-    record.acceptance.push_back(std::move(done));
+    record.acceptance_waiters.push_back(std::move(done));
     jobs_.emplace(job.id, std::move(record));
     journal_entry entry;
     entry.puts.push_back({key(jobs_table, job.id), encode_definition(job)});
@@ -173,97 +175,99 @@
 {
     ++stats_.accepted;
     job_record record;
-    record.early =
-        warming_up() && around_.placing.ready_cores(job.service) <= 0;
+    record.early = warming_up() &&
+                   dependencies_.task_dispatcher.ready_cores(job.service) <= 0;
     stats_.early += record.early ? 1 : 0;
     record.job = job;
     record.tasks.resize(job.task_count());
     record.accepted = true;
-    record.give_up =
-        around_.clock.now() + milliseconds{job.give_up_ms - job.accepted_ms};
+    record.give_up = dependencies_.clock.now() +
+                     milliseconds{job.expiry_ms - job.accepted_ms};
     record.end_waiters.push_back(std::move(done));
-    record.begin_by = record.review_at = latest_begin(record);
-    reviews_.emplace(record.review_at, job.id);
-    await_review();
-    make_ready(jobs_.emplace(job.id, std::move(record)).first->second);
+    record.begin_by = record.next_review_at = latest_start(record);
+    reviews_.emplace(record.next_review_at, job.id);
+    arm_review_timer();
+    enqueue_ready_tasks(jobs_.emplace(job.id, std::move(record)).first->second);
 }
 
 /// Begun any later a job could not end before its caller gives up. One that is
 /// late anyway is worth little, and the sooner its caller knows that it was
 /// not run the more it can do about it: at once for one that came early, since
 /// all start at once and those who can still be in time need the room.
-instant job_coordinator::latest_begin(const job_record& record) const
+instant job_coordinator::latest_start(const job_record& record) const
 {
     const auto& job = record.job;
-    const auto chain = milliseconds{job.longest_chain_ms()};
-    const auto patience = milliseconds{job.give_up_ms - job.accepted_ms};
-    const auto in_time = milliseconds{job.objective_ms - job.accepted_ms};
+    const auto chain = milliseconds{job.critical_path_ms()};
+    const auto time_to_expiry = milliseconds{job.expiry_ms - job.accepted_ms};
+    const auto time_to_objective =
+        milliseconds{job.objective_ms - job.accepted_ms};
     const auto share = record.early ? duration{0}
                                     : std::chrono::duration_cast<duration>(
-                                          patience * settings_.begin_by);
+                                          time_to_expiry * settings_.begin_by);
     const auto latest = std::min<duration>(
-        patience - chain, std::max<duration>(share, in_time - chain));
-    return around_.clock.now() + latest;
+        time_to_expiry - chain,
+        std::max<duration>(share, time_to_objective - chain));
+    return dependencies_.clock.now() + latest;
 }
 
 void job_coordinator::withdraw(job_id id)
 {
     const auto known = jobs_.find(id);
-    if (known == jobs_.end() || known->second.ending)
+    if (known == jobs_.end() || known->second.pending_end_state)
         return;
     ++stats_.withdrawn;
-    log_change(log_level::info, "caller_left", {{"job", to_text(id)}});
+    log_change(log_level::info, "caller_disconnected", {{"job", to_text(id)}});
     drop(known->second);
 }
 
-void job_coordinator::give_up_late()
+void job_coordinator::process_due_reviews()
 {
-    const auto now = around_.clock.now();
+    const auto now = dependencies_.clock.now();
     while (!reviews_.empty() && reviews_.begin()->first <= now)
     {
         auto& record = jobs_.at(reviews_.begin()->second);
         if (record.give_up <= now || !may_have_run(record))
             give_up(record);
         else
-            review_again(record, record.give_up);
+            reschedule_review(record, record.give_up);
     }
 }
 
-void job_coordinator::review_again(job_record& record, instant at)
+void job_coordinator::reschedule_review(job_record& record, instant at)
 {
-    reviews_.erase({record.review_at, record.job.id});
-    record.review_at = at;
+    reviews_.erase({record.next_review_at, record.job.id});
+    record.next_review_at = at;
     reviews_.emplace(at, record.job.id);
-    await_review();
+    arm_review_timer();
 }
 
 /// Callers are told at the moment itself: a tick later more of the time in
 /// which they could try elsewhere has gone by.
-void job_coordinator::await_review()
+void job_coordinator::arm_review_timer()
 {
     if (reviews_.empty())
         return;
     const auto next = reviews_.begin()->first;
-    if (review_awaited_ && *review_awaited_ <= next)
+    if (armed_review_ && *armed_review_ <= next)
         return;
-    review_awaited_ = next;
-    const auto wait = std::max(duration{0}, next - around_.clock.now());
-    around_.later(wait,
-                  [this, alive = alive_, next]
-                  {
-                      if (!*alive || review_awaited_ != next)
-                          return;
-                      review_awaited_.reset();
-                      give_up_late();
-                      await_review();
-                  });
+    armed_review_ = next;
+    const auto wait = std::max(duration{0}, next - dependencies_.clock.now());
+    dependencies_.later(wait,
+                        [this, alive = alive_, next]
+                        {
+                            if (!*alive || armed_review_ != next)
+                                return;
+                            armed_review_.reset();
+                            process_due_reviews();
+                            arm_review_timer();
+                        });
 }
 
 /// An order that its agent has sent back as not begun has not run; one that is
 /// out, or was lost with its agent, may have.
 bool job_coordinator::may_have_run(const job_record& record)
 {
-    return record.begun || !record.lost.empty() ||
+    return record.started || !record.lost_orders.empty() ||
            std::any_of(record.tasks.begin(), record.tasks.end(),
                        [](const task_record& task)
                        { return task.phase == task_phase::placed; });
@@ -286,7 +290,8 @@
         std::count_if(record.tasks.begin(), record.tasks.end(),
                       [](const task_record& task)
                       { return task.phase == task_phase::placed; });
-    const milliseconds patience{record.job.give_up_ms - record.job.accepted_ms};
+    const milliseconds time_to_expiry{record.job.expiry_ms -
+                                      record.job.accepted_ms};
     log_change(
         log_level::info, "job_given_up",
         {{"job", to_text(id)},
@@ -294,9 +299,9 @@
          {"tasks_done", record.done},
          {"tasks_placed", placed},
          {"tasks", record.tasks.size()},
-         {"begun", record.begun},
+         {"begun", record.started},
          {"waited_ms",
-          to_ms(around_.clock.now() - (record.give_up - patience))},
+          to_ms(dependencies_.clock.now() - (record.give_up - time_to_expiry))},
          {"verdict", may_have_run(record) ? "may_have_run" : "not_run"}});
     drop(record);
 }
@@ -317,7 +322,7 @@
 /// Its time goes with it: the same id may come again.
 void job_coordinator::erase(job_map::iterator job)
 {
-    reviews_.erase({job->second.review_at, job->first});
+    reviews_.erase({job->second.next_review_at, job->first});
     jobs_.erase(job);
 }
 
@@ -332,7 +337,7 @@
 
 std::uint32_t job_coordinator::first_run() const
 {
-    return chain_ ? (epoch_ - 1) * runs_an_epoch : first_memory_run;
+    return chain_ ? (epoch_ - 1) * runs_per_epoch : first_memory_run;
 }
 
 void job_coordinator::accepted(job_id id, journal_verdict verdict)
@@ -340,21 +345,21 @@
     const auto known = jobs_.find(id);
     if (known == jobs_.end())
         return;
-    auto waiters = std::exchange(known->second.acceptance, {});
+    auto waiters = std::exchange(known->second.acceptance_waiters, {});
     job_reply reply;
     if (verdict == journal_verdict::durable)
     {
         ++stats_.accepted;
         known->second.accepted = true;
-        make_ready(known->second);
+        enqueue_ready_tasks(known->second);
         reply.outcome = job_outcome::done;
     }
     else
     {
-        const auto enders = std::exchange(known->second.end_waiters, {});
+        const auto end_handlers = std::exchange(known->second.end_waiters, {});
         jobs_.erase(known);
-        for (const auto& ender : enders)
-            ender({job_outcome::not_owner, job_state::queued, {}});
+        for (const auto& end_handler : end_handlers)
+            end_handler({job_outcome::not_owner, job_state::queued, {}});
         reply.outcome = verdict == journal_verdict::not_written
                             ? job_outcome::refused
                             : job_outcome::unknown;
@@ -385,33 +390,33 @@
     return done;
 }
 
-void job_coordinator::make_ready(job_record& record)
+void job_coordinator::enqueue_ready_tasks(job_record& record)
 {
-    if (record.ending || !record.accepted ||
-        (!record.fresh && !awaited_.empty()))
+    if (record.pending_end_state || !record.accepted ||
+        (!record.accepted_here && !unreported_agents_.empty()))
         return;
     const auto done = steps_done(record);
-    std::uint32_t flat = 0;
+    std::uint32_t task_index = 0;
     for (const auto& step : record.job.steps)
     {
         const bool open =
             std::all_of(step.after.begin(), step.after.end(),
                         [&done](std::uint32_t before) { return done[before]; });
-        for (std::uint32_t i = 0; i < step.count; ++i, ++flat)
+        for (std::uint32_t i = 0; i < step.count; ++i, ++task_index)
         {
-            if (open && record.tasks[flat].phase == task_phase::blocked)
-                enqueue(record, flat);
+            if (open && record.tasks[task_index].phase == task_phase::blocked)
+                enqueue(record, task_index);
         }
     }
 }
 
-void job_coordinator::enqueue(job_record& record, std::uint32_t flat)
+void job_coordinator::enqueue(job_record& record, std::uint32_t task_index)
 {
-    auto& task = record.tasks[flat];
-    const auto& step = step_of(record.job, flat);
+    auto& task = record.tasks[task_index];
+    const auto& step = step_of(record.job, task_index);
     task.phase = task_phase::ready;
     ready_task ready;
-    ready.task = ref_of(record.job, flat);
+    ready.task = ref_of(record.job, task_index);
     ready.part = part_;
     ready.service = record.job.service;
     ready.label = step.label;
@@ -420,41 +425,41 @@
     ready.priority = record.job.priority;
     ready.estimate_ms = step.estimate_ms;
     const auto slack_ms =
-        record.job.objective_ms - step.estimate_ms - around_.wall_ms();
-    ready.start_by = around_.clock.now() + milliseconds{slack_ms};
+        record.job.objective_ms - step.estimate_ms - dependencies_.wall_ms();
+    ready.start_by = dependencies_.clock.now() + milliseconds{slack_ms};
     ready.avoid = task.agent;
-    around_.placing.enqueue(std::move(ready));
+    dependencies_.task_dispatcher.enqueue(std::move(ready));
 }
 
 std::optional<run_order> job_coordinator::assign(const ready_task& task,
                                                  const std::string& agent)
 {
     const auto known = jobs_.find(task.task.job);
-    if (known == jobs_.end() || known->second.ending)
+    if (known == jobs_.end() || known->second.pending_end_state)
         return std::nullopt;
     auto& record = known->second;
-    const auto flat = flat_index(record.job, task.task);
-    if (flat >= record.tasks.size())
+    const auto task_index = index_of(record.job, task.task);
+    if (task_index >= record.tasks.size())
         return std::nullopt;
-    auto& placed = record.tasks[flat];
+    auto& placed = record.tasks[task_index];
     if (placed.phase != task_phase::ready)
         return std::nullopt;
     const std::uint32_t least = first_run();
-    if (!chain_ && around_.clock.now() >= record.give_up)
+    if (!chain_ && dependencies_.clock.now() >= record.give_up)
         return std::nullopt;
     if (placed.run > least)
         ++stats_.restarted;
     placed.run = std::max(placed.run, least) + 1;
     placed.phase = task_phase::placed;
     placed.agent = agent;
-    return order_of(record, flat, {task.task, placed.run});
+    return order_of(record, task_index, {task.task, placed.run});
 }
 
 run_order job_coordinator::order_of(const job_record& record,
-                                    std::uint32_t flat,
+                                    std::uint32_t task_index,
                                     const run_ref& run) const
 {
-    const auto& step = step_of(record.job, flat);
+    const auto& step = step_of(record.job, task_index);
     run_order order;
     order.run = run;
     order.epoch = epoch_;
@@ -464,7 +469,7 @@
     order.estimate_ms = step.estimate_ms;
     if (!chain_)
         order.useful_ms = static_cast<std::uint32_t>(std::max<std::int64_t>(
-            1, to_ms(record.give_up - around_.clock.now())));
+            1, to_ms(record.give_up - dependencies_.clock.now())));
     return order;
 }
 
@@ -475,10 +480,10 @@
         return done({job_outcome::done, ended->second.state, {}});
     const auto known = jobs_.find(id);
     if (known == jobs_.end())
-        return done({not_here(id), job_state::queued, {}});
+        return done({absent_outcome(id), job_state::queued, {}});
     auto& record = known->second;
     record.end_waiters.push_back(std::move(done));
-    if (record.ending)
+    if (record.pending_end_state)
         return;
     journal_end(record, job_state::cancelled, nullptr);
 }
@@ -490,34 +495,35 @@
         return done({job_outcome::done, ended->second.state, {}});
     const auto known = jobs_.find(id);
     if (known == jobs_.end())
-        return done({not_here(id), job_state::queued, {}});
+        return done({absent_outcome(id), job_state::queued, {}});
     auto& record = known->second;
-    if (record.ending || !record.begun)
-        return tell_state(record, std::move(done));
+    if (record.pending_end_state || !record.started)
+        return reply_state(record, std::move(done));
     // Callers ask when they believe that it ends: the end is near, if it is
     // not on its way here already.
-    around_.later(settings_.near_end,
-                  [this, alive = alive_, id, done = std::move(done)]
-                  {
-                      if (*alive)
-                          state_after_wait(id, done);
-                      else
-                          done({job_outcome::not_owner, {}, {}});
-                  });
+    dependencies_.later(settings_.state_query_delay,
+                        [this, alive = alive_, id, done = std::move(done)]
+                        {
+                            if (*alive)
+                                reply_state_after_delay(id, done);
+                            else
+                                done({job_outcome::not_owner, {}, {}});
+                        });
 }
 
-void job_coordinator::tell_state(job_record& record, job_reply_handler done)
+void job_coordinator::reply_state(job_record& record, job_reply_handler done)
 {
-    if (record.ending)
+    if (record.pending_end_state)
     {
         record.end_waiters.push_back(std::move(done));
         return;
     }
-    const auto state = record.begun ? job_state::running : job_state::queued;
+    const auto state = record.started ? job_state::running : job_state::queued;
     done({job_outcome::done, state, {}});
 }
 
-void job_coordinator::state_after_wait(job_id id, const job_reply_handler& done)
+void job_coordinator::reply_state_after_delay(job_id id,
+                                              const job_reply_handler& done)
 {
     const auto ended = ended_.find(id);
     if (ended != ended_.end())
@@ -525,7 +531,7 @@
     const auto known = jobs_.find(id);
     if (known == jobs_.end())
         return done({job_outcome::missing, job_state::queued, {}});
-    tell_state(known->second, done);
+    reply_state(known->second, done);
 }
 
 std::map<std::string, std::uint32_t> job_coordinator::pending() const
@@ -533,7 +539,7 @@
     std::map<std::string, std::uint32_t> counts;
     for (const auto& [id, record] : jobs_)
     {
-        if (record.accepted && !record.begun && !record.ending)
+        if (record.accepted && !record.started && !record.pending_end_state)
             ++counts[record.job.queue];
     }
     return counts;
@@ -541,22 +547,23 @@
 
 void job_coordinator::tick()
 {
-    if (!awaited_.empty() &&
-        around_.clock.now() - claimed_ > settings_.agent_silence)
+    if (!unreported_agents_.empty() &&
+        dependencies_.clock.now() - claimed_ > settings_.agent_timeout)
     {
-        log_change(log_level::info, "agents_not_heard",
-                   {{"part", part_}, {"agents", awaited_.size()}});
-        awaited_.clear();
-        all_agents_told();
+        log_change(log_level::info, "agent_reports_timed_out",
+                   {{"part", part_}, {"agents", unreported_agents_.size()}});
+        unreported_agents_.clear();
+        on_all_agents_reported();
     }
-    give_up_late();
-    forget_old();
+    process_due_reviews();
+    expire_ended_jobs();
 }
 
-void job_coordinator::forget_old()
+void job_coordinator::expire_ended_jobs()
 {
     constexpr std::size_t most = 40;
-    const auto limit = around_.wall_ms() - to_ms(settings_.keep_ended);
+    const auto limit =
+        dependencies_.wall_ms() - to_ms(settings_.ended_retention);
     journal_entry entry;
     entry.urgency = journal_urgency::gathered;
     while (!ended_order_.empty() && ended_order_.front().first < limit &&
--- a/src/glenhollow/durable/job_coordinator.hpp
+++ b/src/glenhollow/durable/job_coordinator.hpp
@@ -56,16 +56,17 @@
 {
     std::string entry;                           ///< Name of this entry.
     std::size_t parts = 3;                       ///< Of the journal.
-    duration keep_ended = seconds{130};          ///< Ended jobs are remembered.
-    duration agent_silence = milliseconds{3400}; ///< Until a silent agent's
+    duration ended_retention = seconds{130};     ///< Ended jobs are remembered.
+    duration agent_timeout = milliseconds{3400}; ///< Until a silent agent's
                                                  ///< runs have surely ended.
-    duration near_end = milliseconds{25}; ///< A question about a job that
-                                          ///< has begun waits so long.
+    duration state_query_delay =
+        milliseconds{25};   ///< A question about a job that
+                            ///< has begun waits so long.
     double begin_by = 0.45; ///< Share of its caller's patience by which a job
                             ///< in memory that will be late must have begun,
                             ///< or its caller is told to come back.
-    double hopeless = 2.2;  ///< Refuse when the wait alone takes
-                            ///< this share of the objective.
+    double max_wait_share = 2.2; ///< Refuse when the wait alone takes
+                                 ///< this share of the objective.
     duration warm_up{}; ///< So long after its start a process may not know yet
                         ///< of backend servers that live on: jobs in memory
                         ///< wait for them instead of being refused.
@@ -73,19 +74,19 @@
 };
 
 /// A job in memory that is sent again soon after its end is not run anew.
-inline constexpr duration memory_of_ends = seconds{10};
+inline constexpr duration memory_ended_retention = seconds{10};
 
 /// An agent's lease for jobs in memory, its time to notice, the longest hold
 /// of its runner and some slack.
-inline constexpr duration memory_agent_silence = milliseconds{2000};
+inline constexpr duration memory_agent_timeout = milliseconds{2000};
 
 /// @param settings Limits of jobs.
 /// @return The same for jobs in memory.
 inline job_coordinator_settings
-for_jobs_in_memory(job_coordinator_settings settings)
+memory_job_settings(job_coordinator_settings settings)
 {
-    settings.keep_ended = memory_of_ends;
-    settings.agent_silence = memory_agent_silence;
+    settings.ended_retention = memory_ended_retention;
+    settings.agent_timeout = memory_agent_timeout;
     return settings;
 }
 
@@ -119,11 +120,11 @@
     /// What a part needs of its entry; all outlive the part.
     struct dependencies
     {
-        const clock_source& clock;  ///< This entry's.
-        wall_clock wall_ms;         ///< Ms since 1970.
-        row_store& store;           ///< Where rows lie.
-        dispatcher& placing;        ///< Places tasks.
-        journal_chain::delay later; ///< Runs delayed work.
+        const clock_source& clock;   ///< This entry's.
+        wall_clock wall_ms;          ///< Ms since 1970.
+        row_store& store;            ///< Where rows lie.
+        dispatcher& task_dispatcher; ///< Places tasks.
+        journal_chain::delay later;  ///< Runs delayed work.
     };
 
     /// @param around What it needs.
@@ -133,16 +134,16 @@
     /// @param awaited Agents that may run something of it.
     /// @param settings Limits.
     /// @param on_lost Told when another entry has taken the part.
-    job_coordinator(dependencies around, part_number part,
+    job_coordinator(dependencies dependencies, part_number part,
                     const chain_head& head, loaded_part loaded,
-                    std::set<std::string> awaited,
+                    std::set<std::string> unreported_agents,
                     const job_coordinator_settings& settings,
                     std::function<void()> on_lost);
 
     /// For jobs in memory.
     /// @param around What it needs.
     /// @param settings Limits.
-    job_coordinator(dependencies around,
+    job_coordinator(dependencies dependencies,
                     const job_coordinator_settings& settings);
     ~job_coordinator();
 
@@ -164,10 +165,11 @@
 
     /// @param agent An agent that has adopted the part.
     /// @param account What it knows of the part.
-    void account_of(const std::string& agent, const lease_account& account);
+    void reconcile_agent(const std::string& agent,
+                         const lease_account& account);
 
     /// @param agent Nothing that was started there runs any more.
-    void agent_gone(const std::string& agent);
+    void on_agent_lost(const std::string& agent);
 
     /// @param agent Where a run ended.
     /// @param end How.
@@ -189,7 +191,7 @@
     void withdraw(job_id id);
 
     /// Makes the journal find out whether the part is still ours.
-    void verify() { chain_->append({}); }
+    void verify_ownership() { chain_->append({}); }
 
     /// Takes no more new jobs.
     void refuse_new() { refusing_ = true; }
@@ -241,8 +243,8 @@
     /// Why a job is not taken.
     struct refusal
     {
-        reason why = reason::none; ///< The cause.
-        duration wait{};           ///< When to come back.
+        reason cause = reason::none; ///< The cause.
+        duration wait{};             ///< When to come back.
     };
 
     /// One task.
@@ -264,94 +266,95 @@
     /// One job that has not ended.
     struct job_record
     {
-        job_definition job;             ///< As accepted.
-        std::vector<task_record> tasks; ///< Flat, step after step.
-        job_progress progress;          ///< As journalled or on its way.
-        std::size_t done = 0;           ///< Tasks that are done.
-        bool begun = false;             ///< A task has begun.
-        std::vector<lost_order> lost;   ///< Nothing was heard of them.
-        bool early = false;             ///< Came before a backend server
-                                        ///< was known.
-        bool accepted = false;          ///< Its row is durable.
-        bool fresh = true;              ///< Accepted by this owner.
-        instant give_up{};              ///< Of one in memory.
-        instant begin_by{};  ///< It is given up then if it has surely not run.
-        instant review_at{}; ///< When it is looked at next.
-        std::optional<job_state> ending;            ///< Its end is on its way.
-        std::vector<job_reply_handler> acceptance;  ///< Wait for its row.
+        job_definition job;                  ///< As accepted.
+        std::vector<task_record> tasks;      ///< Flat, step after step.
+        job_progress progress;               ///< As journalled or on its way.
+        std::size_t done = 0;                ///< Tasks that are done.
+        bool started = false;                ///< A task has begun.
+        std::vector<lost_order> lost_orders; ///< Nothing was heard of them.
+        bool early = false;                  ///< Came before a backend server
+                                             ///< was known.
+        bool accepted = false;               ///< Its row is durable.
+        bool accepted_here = true;           ///< Accepted by this owner.
+        instant give_up{};                   ///< Of one in memory.
+        instant begin_by{}; ///< It is given up then if it has surely not run.
+        instant next_review_at{}; ///< When it is looked at next.
+        std::optional<job_state> pending_end_state; ///< Its end is on its way.
+        std::vector<job_reply_handler>
+            acceptance_waiters;                     ///< Wait for its row.
         std::vector<job_reply_handler> end_waiters; ///< Wait for its end.
     };
 
     using job_map = std::unordered_map<job_id, job_record>;
 
-    std::uint32_t flat_index(const job_definition& job,
-                             const task_ref& task) const;
-    task_ref ref_of(const job_definition& job, std::uint32_t flat) const;
+    std::uint32_t index_of(const job_definition& job,
+                           const task_ref& task) const;
+    task_ref ref_of(const job_definition& job, std::uint32_t task_index) const;
     const job_step& step_of(const job_definition& job,
-                            std::uint32_t flat) const;
-    void make_ready(job_record& record);
+                            std::uint32_t task_index) const;
+    void enqueue_ready_tasks(job_record& record);
     static std::vector<bool> steps_done(const job_record& record);
-    void enqueue(job_record& record, std::uint32_t flat);
-    void tell_state(job_record& record, job_reply_handler done);
-    void state_after_wait(job_id id, const job_reply_handler& done);
-    std::optional<refusal> refusal_of(const job_definition& job) const;
+    void enqueue(job_record& record, std::uint32_t task_index);
+    void reply_state(job_record& record, job_reply_handler done);
+    void reply_state_after_delay(job_id id, const job_reply_handler& done);
+    std::optional<refusal> check_admission(const job_definition& job) const;
     bool warming_up() const;
     void accept_in_memory(const job_definition& job, job_reply_handler done);
-    instant latest_begin(const job_record& record) const;
-    void give_up_late();
+    instant latest_start(const job_record& record) const;
+    void process_due_reviews();
     void give_up(job_record& record);
-    void review_again(job_record& record, instant at);
-    void await_review();
+    void reschedule_review(job_record& record, instant at);
+    void arm_review_timer();
     static bool may_have_run(const job_record& record);
     void drop(job_record& record);
     void erase(job_map::iterator job);
     void write(journal_entry entry);
     std::uint32_t first_run() const;
     void accepted(job_id id, journal_verdict verdict);
-    run_order order_of(const job_record& record, std::uint32_t flat,
+    run_order order_of(const job_record& record, std::uint32_t task_index,
                        const run_ref& run) const;
-    void listed(const std::string& agent, const listed_run& run);
+    void reconcile_listed_run(const std::string& agent, const listed_run& run);
     void requeue_unlisted(const std::string& agent,
                           const lease_account& account);
-    void log_lost(const std::string& agent, std::string_view cause,
-                  std::uint64_t orders) const;
-    void lose_order(job_record& record, std::uint32_t flat);
-    void settle_lost(job_record& record, const std::string& agent,
-                     const lease_account& account);
-    void note_not_begun(job_record& record, const run_ref& run);
-    void ended_well(job_record& record, std::uint32_t flat,
-                    const std::string& agent, const run_end& end);
-    void ended_badly(job_record& record, std::uint32_t flat,
-                     const std::string& agent, const run_end& end);
-    void place_again(job_record& record, std::uint32_t flat);
+    void log_lost_orders(const std::string& agent, std::string_view cause,
+                         std::uint64_t orders) const;
+    void handle_lost_order(job_record& record, std::uint32_t task_index);
+    void resolve_lost_orders(job_record& record, const std::string& agent,
+                             const lease_account& account);
+    void on_order_not_begun(job_record& record, const run_ref& run);
+    void on_run_succeeded(job_record& record, std::uint32_t task_index,
+                          const std::string& agent, const run_end& end);
+    void on_run_failed(job_record& record, std::uint32_t task_index,
+                       const std::string& agent, const run_end& end);
+    void requeue_task(job_record& record, std::uint32_t task_index);
     void journal_progress(job_record& record, const std::string& agent,
                           const run_end& end);
     void journal_end(job_record& record, job_state state,
-                     std::function<void(journal_verdict)> also);
+                     std::function<void(journal_verdict)> on_written);
     void finish(job_id id, job_state state, journal_verdict verdict);
     void stop_runs(job_record& record);
-    void remember(job_id id, const job_epitaph& end);
-    void take(loaded_part loaded);
-    job_outcome not_here(job_id id) const;
-    void all_agents_told();
-    void forget_old();
+    void remember_ended(job_id id, const ended_job& end);
+    void restore(loaded_part loaded);
+    job_outcome absent_outcome(job_id id) const;
+    void on_all_agents_reported();
+    void expire_ended_jobs();
     row_key key(std::string_view table, job_id id) const;
 
-    dependencies around_;                           ///< Of the entry.
-    part_number part_;                              ///< Which part.
-    std::uint32_t epoch_;                           ///< Of this ownership.
-    job_coordinator_settings settings_;             ///< Limits.
-    std::unique_ptr<journal_chain> chain_;          ///< Its journal.
-    job_map jobs_;                                  ///< Not ended.
-    std::unordered_map<job_id, job_epitaph> ended_; ///< Ended.
+    dependencies dependencies_;                   ///< Of the entry.
+    part_number part_;                            ///< Which part.
+    std::uint32_t epoch_;                         ///< Of this ownership.
+    job_coordinator_settings settings_;           ///< Limits.
+    std::unique_ptr<journal_chain> chain_;        ///< Its journal.
+    job_map jobs_;                                ///< Not ended.
+    std::unordered_map<job_id, ended_job> ended_; ///< Ended.
     std::deque<std::pair<std::int64_t, job_id>> ended_order_; ///< By time.
     std::set<job_id> unreadable_;                  ///< See loaded_part.
     std::set<std::pair<instant, job_id>> reviews_; ///< Open jobs in memory.
-    std::optional<instant> review_awaited_; ///< A timer will look at them.
-    std::set<std::string> awaited_;         ///< Agents not heard yet.
-    bool refusing_ = false;                 ///< Takes no more new jobs.
-    instant claimed_;                       ///< When the part was taken.
-    job_coordinator_stats stats_;           ///< Counters.
+    std::optional<instant> armed_review_;     ///< A timer will look at them.
+    std::set<std::string> unreported_agents_; ///< Agents not heard yet.
+    bool refusing_ = false;                   ///< Takes no more new jobs.
+    instant claimed_;                         ///< When the part was taken.
+    job_coordinator_stats stats_;             ///< Counters.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true); ///< Guard.
 };
 
--- a/src/glenhollow/durable/job_coordinator_load.cpp
+++ b/src/glenhollow/durable/job_coordinator_load.cpp
@@ -7,21 +7,21 @@
 namespace glenhollow
 {
 
-void job_coordinator::take(loaded_part loaded)
+void job_coordinator::restore(loaded_part loaded)
 {
     for (auto& job : loaded.jobs)
     {
         job_record record;
         record.tasks.resize(job.task_count());
         record.accepted = true;
-        record.fresh = false;
+        record.accepted_here = false;
         const auto known = loaded.progress.find(job.id);
         if (known != loaded.progress.end())
             record.progress = std::move(known->second);
-        for (const auto flat : record.progress.done)
+        for (const auto task_index : record.progress.done)
         {
-            if (flat < record.tasks.size())
-                record.tasks[flat].phase = task_phase::done;
+            if (task_index < record.tasks.size())
+                record.tasks[task_index].phase = task_phase::done;
         }
         for (const auto& failure : record.progress.failed)
         {
@@ -29,20 +29,20 @@
                 ++record.tasks[failure.task].failures;
         }
         record.done = record.progress.done.size();
-        record.begun = known != loaded.progress.end();
+        record.started = known != loaded.progress.end();
         record.job = std::move(job);
         const auto id = record.job.id;
         jobs_.emplace(id, std::move(record));
     }
     for (const auto& [id, end] : loaded.ended)
-        remember(id, end);
+        remember_ended(id, end);
     std::sort(ended_order_.begin(), ended_order_.end());
     unreadable_ = std::move(loaded.unreadable);
 }
 
 /// A job with a row that can't be read was accepted, and may have run: nobody
 /// says that there is no such job, and it is not run anew.
-job_outcome job_coordinator::not_here(job_id id) const
+job_outcome job_coordinator::absent_outcome(job_id id) const
 {
     return unreadable_.contains(id) ? job_outcome::unknown
                                     : job_outcome::missing;
--- a/src/glenhollow/durable/job_router.cpp
+++ b/src/glenhollow/durable/job_router.cpp
@@ -8,22 +8,23 @@
 {
 
 /// One call under way.
-struct job_router::routed
+struct job_router::pending_call
 {
-    job_call call;             ///< What is asked.
-    job_reply_handler done;    ///< Told the end.
-    instant begun{};           ///< When it came.
-    std::uint64_t attempt = 0; ///< Counts tries.
-    bool out = false;          ///< A try is out.
-    bool maybe_done = false;   ///< A try may have taken effect.
-    bool ended = false;        ///< The end was told.
+    job_call call;                 ///< What is asked.
+    job_reply_handler done;        ///< Told the end.
+    instant started_at{};          ///< When it came.
+    std::uint64_t attempt = 0;     ///< Counts tries.
+    bool in_flight = false;        ///< A try is out.
+    bool possibly_applied = false; ///< A try may have taken effect.
+    bool ended = false;            ///< The end was told.
 };
 
-job_router::job_router(const clock_source& clock, journal_chain::delay later,
+job_router::job_router(const clock_source& clock,
+                       journal_chain::delay schedule_after,
                        part_ownership& ownership, entry_peers& peers,
                        const job_router_settings& settings)
-    : clock_(clock), later_(std::move(later)), ownership_(ownership),
-      peers_(peers), settings_(settings)
+    : clock_(clock), schedule_after_(std::move(schedule_after)),
+      ownership_(ownership), peers_(peers), settings_(settings)
 {
 }
 
@@ -46,24 +47,25 @@
 
 void job_router::route(job_call call, job_reply_handler done)
 {
-    auto fresh = std::make_shared<routed>();
-    fresh->call = std::move(call);
-    fresh->done = std::move(done);
-    fresh->begun = clock_.now();
-    const bool submits = fresh->call.verb == job_verb::submit;
-    later_(submits ? settings_.submit_limit : settings_.ask_limit,
-           [this, fresh] { give_up(fresh); });
-    attempt(fresh);
+    auto pending = std::make_shared<pending_call>();
+    pending->call = std::move(call);
+    pending->done = std::move(done);
+    pending->started_at = clock_.now();
+    const bool submits = pending->call.verb == job_verb::submit;
+    schedule_after_(submits ? settings_.submit_timeout
+                            : settings_.query_timeout,
+                    [this, pending] { give_up(pending); });
+    attempt(pending);
 }
 
-void job_router::serve_here(const job_call& call, job_reply_handler done)
+void job_router::serve_locally(const job_call& call, job_reply_handler done)
 {
     const auto part = part_of(call.id, settings_.parts);
     auto* jobs = ownership_.find(part);
     if (jobs == nullptr)
         return done({job_outcome::not_owner, job_state::queued, {}});
     // Another owner may have accepted a job that this one misses.
-    const auto sure = [this, part, done](const job_reply& reply)
+    const auto reply_if_owner = [this, part, done](const job_reply& reply)
     {
         if (reply.outcome == job_outcome::missing &&
             ownership_.may_be_superseded(part))
@@ -75,30 +77,30 @@
     case job_verb::submit:
         return jobs->submit(call.job, std::move(done));
     case job_verb::cancel:
-        return jobs->cancel(call.id, sure);
+        return jobs->cancel(call.id, reply_if_owner);
     case job_verb::state:
-        return jobs->state(call.id, sure);
+        return jobs->state(call.id, reply_if_owner);
     case job_verb::cancel_in_memory:
         break; // No matter of the journal's: it does not come here.
     }
     done({});
 }
 
-void job_router::attempt(const std::shared_ptr<routed>& call)
+void job_router::attempt(const std::shared_ptr<pending_call>& call)
 {
     if (call->ended)
         return;
     const auto part = part_of(call->call.id, settings_.parts);
-    const auto number = ++call->attempt;
-    if (number > 1)
+    const auto attempt_number = ++call->attempt;
+    if (attempt_number > 1)
         ++stats_.retried;
     if (ownership_.find(part) != nullptr)
     {
         ++stats_.here;
-        call->out = true;
-        return serve_here(call->call,
-                          [this, call, number](const job_reply& reply)
-                          { answered(call, number, reply); });
+        call->in_flight = true;
+        return serve_locally(
+            call->call, [this, call, attempt_number](const job_reply& reply)
+            { on_reply(call, attempt_number, reply); });
     }
     const auto owner = owner_of(part);
     if (!owner)
@@ -107,59 +109,60 @@
         return retry(call);
     }
     ++stats_.forwarded;
-    call->out = true;
-    later_(settings_.answer_limit,
-           [this, call, number] { answered(call, number, std::nullopt); });
-    peers_.call(*owner, call->call,
-                [this, call, number](const std::optional<job_reply>& reply)
-                { answered(call, number, reply); });
+    call->in_flight = true;
+    schedule_after_(settings_.attempt_timeout, [this, call, attempt_number]
+                    { on_reply(call, attempt_number, std::nullopt); });
+    peers_.call(
+        *owner, call->call,
+        [this, call, attempt_number](const std::optional<job_reply>& reply)
+        { on_reply(call, attempt_number, reply); });
 }
 
-void job_router::answered(const std::shared_ptr<routed>& call,
+void job_router::on_reply(const std::shared_ptr<pending_call>& call,
                           std::uint64_t attempt,
                           const std::optional<job_reply>& reply)
 {
-    if (call->ended || !call->out || call->attempt != attempt)
+    if (call->ended || !call->in_flight || call->attempt != attempt)
         return;
-    call->out = false;
+    call->in_flight = false;
     if (!reply || reply->outcome == job_outcome::unknown)
     {
-        call->maybe_done = true;
+        call->possibly_applied = true;
         return retry(call);
     }
     if (reply->outcome == job_outcome::not_owner)
         return retry(call);
     // A refusal settles nothing if an earlier try may have been taken.
-    if (reply->outcome == job_outcome::refused && call->maybe_done)
+    if (reply->outcome == job_outcome::refused && call->possibly_applied)
         return retry(call);
     finish(call, *reply);
 }
 
-void job_router::retry(const std::shared_ptr<routed>& call)
+void job_router::retry(const std::shared_ptr<pending_call>& call)
 {
     const bool submits = call->call.verb == job_verb::submit;
-    if (submits && !call->maybe_done &&
-        clock_.now() - call->begun >= settings_.ownerless)
+    if (submits && !call->possibly_applied &&
+        clock_.now() - call->started_at >= settings_.ownerless)
         return give_up(call);
-    later_(settings_.retry, [this, call] { attempt(call); });
+    schedule_after_(settings_.retry, [this, call] { attempt(call); });
 }
 
-void job_router::give_up(const std::shared_ptr<routed>& call)
+void job_router::give_up(const std::shared_ptr<pending_call>& call)
 {
     if (call->ended)
         return;
-    const bool surely_not =
-        !call->maybe_done && !call->out && call->call.verb == job_verb::submit;
+    const bool not_applied = !call->possibly_applied && !call->in_flight &&
+                             call->call.verb == job_verb::submit;
     log_change(log_level::info, "call_given_up",
                {{"job", to_text(call->call.id)},
                 {"verb", to_name(call->call.verb)},
                 {"attempts", call->attempt},
-                {"verdict", surely_not ? "not_run" : "unknown"}});
-    finish(call, {surely_not ? job_outcome::refused : job_outcome::unknown,
+                {"verdict", not_applied ? "not_run" : "unknown"}});
+    finish(call, {not_applied ? job_outcome::refused : job_outcome::unknown,
                   job_state::queued, seconds{1}});
 }
 
-void job_router::finish(const std::shared_ptr<routed>& call,
+void job_router::finish(const std::shared_ptr<pending_call>& call,
                         const job_reply& reply)
 {
     if (std::exchange(call->ended, true))
--- a/src/glenhollow/durable/job_router.hpp
+++ b/src/glenhollow/durable/job_router.hpp
@@ -15,14 +15,14 @@
 /// Limits of the router.
 struct job_router_settings
 {
-    std::size_t parts = 3;                      ///< Of the journal.
-    duration ownerless = milliseconds{150};     ///< A submission waits for an
-                                                ///< owner so long.
-    duration submit_limit = milliseconds{1400}; ///< Of a submission that may
-                                                ///< have been taken.
-    duration ask_limit = milliseconds{3500};    ///< Of other calls.
-    duration answer_limit = milliseconds{700};  ///< Of one try at a peer.
-    duration retry = milliseconds{20};          ///< Between tries.
+    std::size_t parts = 3;                        ///< Of the journal.
+    duration ownerless = milliseconds{150};       ///< A submission waits for an
+                                                  ///< owner so long.
+    duration submit_timeout = milliseconds{1400}; ///< Of a submission that may
+                                                  ///< have been taken.
+    duration query_timeout = milliseconds{3500};  ///< Of other calls.
+    duration attempt_timeout = milliseconds{700}; ///< Of one try at a peer.
+    duration retry = milliseconds{20};            ///< Between tries.
 };
 
 /// Counters of the router.
@@ -46,7 +46,7 @@
     /// @param ownership Outlives it.
     /// @param peers Outlives it.
     /// @param settings Limits.
-    job_router(const clock_source& clock, journal_chain::delay later,
+    job_router(const clock_source& clock, journal_chain::delay schedule_after,
                part_ownership& ownership, entry_peers& peers,
                const job_router_settings& settings);
 
@@ -56,28 +56,29 @@
 
     /// @param call For a part of this entry.
     /// @param done Told the end, once; `not_owner` where it is another's.
-    void serve_here(const job_call& call, job_reply_handler done);
+    void serve_locally(const job_call& call, job_reply_handler done);
 
     /// @return Counters.
     const job_router_stats& stats() const { return stats_; }
 
 private:
-    struct routed;
+    struct pending_call;
 
-    void attempt(const std::shared_ptr<routed>& call);
-    void answered(const std::shared_ptr<routed>& call, std::uint64_t attempt,
-                  const std::optional<job_reply>& reply);
-    void retry(const std::shared_ptr<routed>& call);
-    void finish(const std::shared_ptr<routed>& call, const job_reply& reply);
-    void give_up(const std::shared_ptr<routed>& call);
+    void attempt(const std::shared_ptr<pending_call>& call);
+    void on_reply(const std::shared_ptr<pending_call>& call,
+                  std::uint64_t attempt, const std::optional<job_reply>& reply);
+    void retry(const std::shared_ptr<pending_call>& call);
+    void finish(const std::shared_ptr<pending_call>& call,
+                const job_reply& reply);
+    void give_up(const std::shared_ptr<pending_call>& call);
     std::optional<std::string> owner_of(part_number part) const;
 
-    const clock_source& clock_;    ///< This entry's.
-    journal_chain::delay later_;   ///< Runs delayed work.
-    part_ownership& ownership_;    ///< This entry's parts.
-    entry_peers& peers_;           ///< The others.
-    job_router_settings settings_; ///< Limits.
-    job_router_stats stats_;       ///< Counters.
+    const clock_source& clock_;           ///< This entry's.
+    journal_chain::delay schedule_after_; ///< Runs delayed work.
+    part_ownership& ownership_;           ///< This entry's parts.
+    entry_peers& peers_;                  ///< The others.
+    job_router_settings settings_;        ///< Limits.
+    job_router_stats stats_;              ///< Counters.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/job_rows.cpp
+++ b/src/glenhollow/durable/job_rows.cpp
@@ -135,25 +135,25 @@
         });
 }
 
-std::string encode_epitaph(const job_epitaph& end)
+std::string encode_ended_job(const ended_job& end)
 {
     return json::serialize(
         json::array{static_cast<unsigned>(end.state), end.ended_ms});
 }
 
-result<job_epitaph> decode_epitaph(std::string_view row)
+result<ended_job> decode_ended_job(std::string_view row)
 {
-    return decode<job_epitaph>(
+    return decode<ended_job>(
         row,
-        [](const json::value& value) -> result<job_epitaph>
+        [](const json::value& value) -> result<ended_job>
         {
             const auto& fields = value.as_array();
             const auto state = json::value_to<std::size_t>(fields.at(0));
             if (state >= name_table<job_state>::names.size() ||
                 !is_final(static_cast<job_state>(state)))
                 return failure{"a journal row names no state of an end"};
-            return job_epitaph{static_cast<job_state>(state),
-                               json::value_to<std::int64_t>(fields.at(1))};
+            return ended_job{static_cast<job_state>(state),
+                             json::value_to<std::int64_t>(fields.at(1))};
         });
 }
 
--- a/src/glenhollow/durable/job_wire.cpp
+++ b/src/glenhollow/durable/job_wire.cpp
@@ -68,7 +68,7 @@
     out.setPriority(job.priority);
     out.setMaxAttempts(job.max_attempts);
     out.setObjectiveInMs(job.objective_ms - now_ms);
-    out.setGiveUpInMs(job.give_up_ms - now_ms);
+    out.setGiveUpInMs(job.expiry_ms - now_ms);
 }
 
 job_definition from_wire(wire::HandedJob::Reader in, std::int64_t now_ms)
@@ -84,8 +84,8 @@
     job.max_attempts = in.getMaxAttempts();
     job.accepted_ms = now_ms;
     job.objective_ms = now_ms + told_length_ms(in.getObjectiveInMs());
-    job.give_up_ms = now_ms + told_length_ms(in.getGiveUpInMs());
-    job.lasts = durability::in_memory;
+    job.expiry_ms = now_ms + told_length_ms(in.getGiveUpInMs());
+    job.durability_class = durability::in_memory;
     return job;
 }
 
--- a/src/glenhollow/durable/margins.cpp
+++ b/src/glenhollow/durable/margins.cpp
@@ -59,9 +59,9 @@
     out.part_lease = agent.part_lease;
     out.stop_time = agent.stop_time;
     out.session_silence = agent_sessions_settings{}.silence;
-    out.memory_silence = memory_agent_silence;
-    out.part_silence = job_coordinator_settings{}.agent_silence;
-    out.cancel_lapse = memory_cancellation_settings{}.lapse;
+    out.memory_silence = memory_agent_timeout;
+    out.part_silence = job_coordinator_settings{}.agent_timeout;
+    out.cancel_lapse = memory_cancellation_settings{}.silence_timeout;
     out.claim_word = claim_evidence_settings{}.good_for;
     out.callers_wait = callers_wait;
     return out;
--- a/src/glenhollow/durable/part_loader.cpp
+++ b/src/glenhollow/durable/part_loader.cpp
@@ -95,8 +95,8 @@
                  [this, id](job_progress progress)
                  { found.progress.emplace(*id, std::move(progress)); });
         else
-            keep(table, *id, decode_epitaph(row.value),
-                 [this, id](job_epitaph end)
+            keep(table, *id, decode_ended_job(row.value),
+                 [this, id](ended_job end)
                  { found.ended.emplace_back(*id, end); });
     }
 
--- a/src/glenhollow/durable/part_loader.hpp
+++ b/src/glenhollow/durable/part_loader.hpp
@@ -25,7 +25,7 @@
 {
     std::vector<job_definition> jobs;                  ///< Not ended.
     std::unordered_map<job_id, job_progress> progress; ///< Of these.
-    std::vector<std::pair<job_id, job_epitaph>> ended; ///< Ended.
+    std::vector<std::pair<job_id, ended_job>> ended;   ///< Ended.
     std::set<job_id> unreadable; ///< With a row that can't be read, and in none
                                  ///< of the others: not known to be undone,
                                  ///< so that nobody may run or end them.
--- a/src/glenhollow/durable/queue_catalog.cpp
+++ b/src/glenhollow/durable/queue_catalog.cpp
@@ -95,20 +95,20 @@
     job.max_attempts = rule.max_attempts;
     job.accepted_ms = now_ms;
     const double allowed =
-        rule.stretch * static_cast<double>(job.longest_chain_ms());
+        rule.stretch * static_cast<double>(job.critical_path_ms());
     const auto objective = static_cast<std::int64_t>(
         std::min(rule.target_ms + allowed, longest_objective_ms));
     job.objective_ms = now_ms + objective;
-    if (job.lasts == durability::in_memory)
+    if (job.durability_class == durability::in_memory)
     {
         // Past three times its objective an end is worth nothing.
         const auto patience =
-            job.give_up_ms == 0 ? longest_patience_ms : job.give_up_ms;
-        job.give_up_ms = now_ms + std::min(patience, 3 * objective);
+            job.expiry_ms == 0 ? longest_patience_ms : job.expiry_ms;
+        job.expiry_ms = now_ms + std::min(patience, 3 * objective);
     }
     else
     {
-        job.give_up_ms = 0;
+        job.expiry_ms = 0;
     }
     return job;
 }
--- a/src/glenhollow/durable/queue_catalog.hpp
+++ b/src/glenhollow/durable/queue_catalog.hpp
@@ -90,7 +90,7 @@
 /// @return Whether it could have been admitted, or which field is wrong.
 result<void> check_form(const job_definition& job);
 
-/// @param job Its form is checked, and its objective set; its `give_up_ms`
+/// @param job Its form is checked, and its objective set; its `expiry_ms`
 /// says how long its caller waits, 0 where it does not.
 /// @param rule Of its queue.
 /// @param now_ms Wall time, ms since 1970.
--- a/src/glenhollow/hosting/host_link.cpp
+++ b/src/glenhollow/hosting/host_link.cpp
@@ -160,7 +160,7 @@
     auto request = session_->host.submitRequest();
     fill(request.initJob(), job, wall_ms);
     request.setOnlyWithRoom(only_with_room);
-    sent_cores_ += job.widest_cores();
+    sent_cores_ += job.peak_cores();
     ++stats_.submitted;
     const auto request_number = ++submission_count_;
     jobs_[job.id] = {request_number, std::move(done)};
--- a/src/glenhollow/hosting/job_handover.cpp
+++ b/src/glenhollow/hosting/job_handover.cpp
@@ -280,7 +280,7 @@
                                         const std::string& excluded_host)
 {
     host_link* best = nullptr;
-    double max_free_cores = job.widest_cores();
+    double max_free_cores = job.peak_cores();
     for (const auto& group : groups_)
     {
         const auto link = links_.find(group.host);
--- a/src/glenhollow/hosting/job_host.cpp
+++ b/src/glenhollow/hosting/job_host.cpp
@@ -29,7 +29,7 @@
 job_coordinator_settings
 coordinator_settings(const job_host_settings& host_settings)
 {
-    auto settings = for_jobs_in_memory(host_settings.jobs);
+    auto settings = memory_job_settings(host_settings.jobs);
     settings.entry = host_settings.name;
     return settings;
 }
@@ -143,7 +143,7 @@
 bool job_host::has_room(const job_definition& job) const
 {
     return dispatcher_.waiting() == 0 &&
-           dispatcher_.free_cores(job.service) >= job.widest_cores();
+           dispatcher_.free_cores(job.service) >= job.peak_cores();
 }
 
 void job_host::withdraw(job_id id)
@@ -190,10 +190,10 @@
     const auto now = clock_.now();
     for (auto& [agent, silence] : silences_)
     {
-        if (silence.ended || now - silence.since <= memory_agent_silence)
+        if (silence.ended || now - silence.since <= memory_agent_timeout)
             continue;
         silence.ended = true;
-        jobs_.agent_gone(agent);
+        jobs_.on_agent_lost(agent);
     }
 }
 
@@ -317,7 +317,7 @@
     if (account.declined)
         return;
     dispatcher_.adopted(agent, part.part);
-    jobs_.account_of(agent, account);
+    jobs_.reconcile_agent(agent, account);
     schedule_dispatch();
 }
 
--- a/src/glenhollow/runs/run_agent_metrics.cpp
+++ b/src/glenhollow/runs/run_agent_metrics.cpp
@@ -65,9 +65,9 @@
           {});
     for (std::size_t i = 0; i < stats.ends.size(); ++i)
     {
-        const auto how = static_cast<run_outcome>(i);
+        const auto outcome = static_cast<run_outcome>(i);
         count("run_ends_total", "Ends of runs", stats.ends[i],
-              "how=\"" + std::string(to_name(how)) + "\"");
+              "how=\"" + std::string(to_name(outcome)) + "\"");
     }
     count("reports_total", "Reports to entries", reports_, {});
     count("order_batches_total", "Order batches taken", batches_, {});
--- a/src/glenhollow/runs/run_manager.cpp
+++ b/src/glenhollow/runs/run_manager.cpp
@@ -85,7 +85,7 @@
            clock_.now() < owner.until &&
            latest_hold() - clock_.running() <=
                owner.until - clock_.now() + held_past_lease &&
-           used_.leaves_room(run.order.needs, account_.capacity);
+           used_.can_fit(run.order.needs, account_.capacity);
 }
 
 void run_manager::start_waiting()
@@ -342,17 +342,17 @@
     runs_.erase(known);
 }
 
-void run_manager::end_run(const run_ref& ref, run_outcome how,
+void run_manager::end_run(const run_ref& ref, run_outcome outcome,
                           std::uint64_t number)
 {
-    run_end end{ref, how, number, 0, true};
+    run_end end{ref, outcome, number, 0, true};
     const auto known = runs_.find(ref);
     if (known != runs_.end() && occupies(known->second.phase))
     {
         const auto ran = clock_.now() - known->second.changed;
-        end.micros = static_cast<std::uint32_t>(
+        end.duration_us = static_cast<std::uint32_t>(
             std::chrono::duration_cast<microseconds>(ran).count());
-        if (how == run_outcome::done)
+        if (outcome == run_outcome::done)
             note_pace(known->second);
     }
     const bool occupied = known != runs_.end() && occupies(known->second.phase);
@@ -363,22 +363,22 @@
     free_run(ref);
     if (!ledger_.add(end, lease, clock_.now()))
         return;
-    ++stats_.ends[static_cast<std::size_t>(how)];
-    if (how == run_outcome::not_begun)
+    ++stats_.ends[static_cast<std::size_t>(outcome)];
+    if (outcome == run_outcome::not_begun)
         ++stats_.not_begun;
     if (orphan && ref.in_memory())
         ledger_.excuse(ref); // Its entry may never ask for it.
     if (listener_ != nullptr)
         listener_->lease_changed(lease);
-    if (how == run_outcome::done || how == run_outcome::failed)
-        note_health(ref, how == run_outcome::failed);
+    if (outcome == run_outcome::done || outcome == run_outcome::failed)
+        note_health(ref, outcome == run_outcome::failed);
     if (!occupied)
         return;
     tell_room();
     start_waiting();
 }
 
-void run_manager::end_all(run_outcome how)
+void run_manager::end_all(run_outcome outcome)
 {
     std::vector<run_ref> all;
     for (const auto& [ref, run] : runs_)
@@ -389,7 +389,7 @@
         if (known == runs_.end())
             continue;
         const bool waiting = known->second.phase == run_phase::waiting;
-        end_run(ref, waiting ? run_outcome::not_begun : how, 0);
+        end_run(ref, waiting ? run_outcome::not_begun : outcome, 0);
     }
 }
 
--- a/src/glenhollow/runs/run_manager.hpp
+++ b/src/glenhollow/runs/run_manager.hpp
@@ -474,7 +474,7 @@
     void stop_answered(const run_ref& ref, const order_result& got);
     void begun(run_record& run);
     void leave_in_doubt(run_record& run);
-    void end_run(const run_ref& ref, run_outcome how, std::uint64_t number);
+    void end_run(const run_ref& ref, run_outcome outcome, std::uint64_t number);
     void free_run(const run_ref& ref);
     void look();
     void look_now();
@@ -493,7 +493,7 @@
     void take_running(instant sent, const std::vector<shown_run>& running);
     void take_finished(const std::vector<run_end>& finished);
     void settle_absent(instant sent, const std::vector<shown_run>& running);
-    void end_all(run_outcome how);
+    void end_all(run_outcome outcome);
     void check_leases();
     void check_silence();
     void check_runs();
--- a/src/glenhollow/runs/run_manager_leases.cpp
+++ b/src/glenhollow/runs/run_manager_leases.cpp
@@ -214,8 +214,8 @@
     {
         if (!expired(kept.lease, kept.noted))
             continue;
-        const bool counts = kept.end.how == run_outcome::done ||
-                            kept.end.how == run_outcome::failed;
+        const bool counts = kept.end.outcome == run_outcome::done ||
+                            kept.end.outcome == run_outcome::failed;
         if (ref.in_memory())
             (clock_.now() - kept.noted > settings_.keep_unwanted ? unwanted
                                                                  : excused)
--- a/src/glenhollow/runs/run_manager_looks.cpp
+++ b/src/glenhollow/runs/run_manager_looks.cpp
@@ -209,7 +209,7 @@
             ++stats_.ends_repeated;
             continue;
         }
-        end_run(end.run, end.how, end.number);
+        end_run(end.run, end.outcome, end.number);
     }
 }
 
@@ -225,7 +225,7 @@
     log_change(log_level::warning, "ended_run_shown",
                {{"job", to_text(ref.task.job)},
                 {"run", ref.run},
-                {"ended", to_name(kept.end.how)}});
+                {"ended", to_name(kept.end.outcome)}});
     runner_.stop(ref, context(),
                  [this, alive = alive_,
                   born_ms = listed_born_ms_](const order_result& got)
--- a/src/glenhollow/runs/run_wire.cpp
+++ b/src/glenhollow/runs/run_wire.cpp
@@ -122,9 +122,9 @@
 {
     fill(out.initTask(), end.run.task);
     out.setRun(end.run.run);
-    out.setHow(static_cast<std::uint8_t>(end.how));
+    out.setHow(static_cast<std::uint8_t>(end.outcome));
     out.setNumber(end.number);
-    out.setMicros(end.micros);
+    out.setMicros(end.duration_us);
     out.setClaimed(end.claimed);
 }
 
--- a/tests/fuzz/fuzz_targets.cpp
+++ b/tests/fuzz/fuzz_targets.cpp
@@ -110,8 +110,8 @@
     const auto again = decode_definition(row);
     must(again && encode_definition(again.value()) == row,
          "a job is read back");
-    job.value().longest_chain_ms();
-    job.value().widest_cores();
+    job.value().critical_path_ms();
+    job.value().peak_cores();
 }
 
 void progress_row(std::string_view bytes)
@@ -127,11 +127,11 @@
 
 void ended_row(std::string_view bytes)
 {
-    const auto end = decode_epitaph(bytes);
+    const auto end = decode_ended_job(bytes);
     if (!end)
         return must_be_short(end.error().text);
     must(is_final(end.value().state), "an end is final");
-    const auto again = decode_epitaph(encode_epitaph(end.value()));
+    const auto again = decode_ended_job(encode_ended_job(end.value()));
     must(again && again.value().state == end.value().state &&
              again.value().ended_ms == end.value().ended_ms,
          "an end is read back");
--- a/tests/schedule/durable_world.cpp
+++ b/tests/schedule/durable_world.cpp
@@ -170,7 +170,7 @@
     job.objective_ms = job.accepted_ms + 1500;
     const auto patience =
         std::chrono::duration_cast<milliseconds>(by.patience).count();
-    job.give_up_ms = settings_.kept ? 0 : job.accepted_ms + patience;
+    job.expiry_ms = settings_.kept ? 0 : job.accepted_ms + patience;
     to.node().deliver(microseconds{300} + time_.some(milliseconds{2}),
                       [this, who, which, job, &to]
                       {
@@ -289,7 +289,8 @@
     job.id = 10 * (number + 1) + (settings_.kept ? 1 : 0);
     job.queue = "queue-1";
     job.service = "service-1";
-    job.lasts = settings_.kept ? durability::journalled : durability::in_memory;
+    job.durability_class =
+        settings_.kept ? durability::journalled : durability::in_memory;
     job.max_attempts = 3;
     job.steps.resize(1);
     job.steps[0].count = tasks;
--- a/tests/schedule/simulated_entry.cpp
+++ b/tests/schedule/simulated_entry.cpp
@@ -59,7 +59,7 @@
     task_source& tasks = *this;
     placing_ =
         std::make_unique<dispatcher>(node_.clock(), sender, tasks, limits);
-    auto jobs = for_jobs_in_memory({});
+    auto jobs = memory_job_settings({});
     jobs.parts = 1;
     jobs.warm_up = milliseconds{500};
     memory_ = std::make_unique<job_coordinator>(dependencies(), jobs);
@@ -267,9 +267,9 @@
     if (jobs == nullptr || jobs->epoch() != part)
         return;
     if (account.declined)
-        return jobs->verify();
+        return jobs->verify_ownership();
     placing_->adopted(agent_name(agent), part.part);
-    jobs->account_of(agent_name(agent), account);
+    jobs->reconcile_agent(agent_name(agent), account);
     schedule_dispatch();
 }
 
@@ -422,19 +422,19 @@
     for (auto& [agent, silence] : silences_)
     {
         const auto length = now - silence.since;
-        if (!silence.memory_ended && length > memory_agent_silence)
+        if (!silence.memory_ended && length > memory_agent_timeout)
         {
             silence.memory_ended = true;
             time_.note([&]
                        { return node_.name() + " gives " + agent + " up"; });
-            memory_->agent_gone(agent);
+            memory_->on_agent_lost(agent);
         }
         if (silence.parts_ended ||
-            length <= job_coordinator_settings{}.agent_silence)
+            length <= job_coordinator_settings{}.agent_timeout)
             continue;
         silence.parts_ended = true;
         if (auto* part = seat_->jobs())
-            part->agent_gone(agent);
+            part->on_agent_lost(agent);
     }
 }
 
@@ -454,8 +454,8 @@
 {
     time_.note(
         [&] { return node_.name() + " gets job " + std::to_string(job.id); });
-    auto* jobs =
-        coordinator_of(job.lasts == durability::in_memory ? memory_part : 0);
+    auto* jobs = coordinator_of(
+        job.durability_class == durability::in_memory ? memory_part : 0);
     if (jobs == nullptr)
         return done({job_outcome::refused, job_state::queued, seconds{1}});
     jobs->submit(job, std::move(done));
--- a/tests/schedule/simulated_server.cpp
+++ b/tests/schedule/simulated_server.cpp
@@ -185,7 +185,7 @@
     const auto barred = barred_.find(key(start.run.task));
     if (barred != barred_.end() && start.run.run <= barred->second)
         return order_outcome::superseded;
-    if (!used.leaves_room({1000, 10, 0}, capacity))
+    if (!used.can_fit({1000, 10, 0}, capacity))
     {
         if (guards_)
             return order_outcome::no_room;
--- a/tests/unit/adapter/caller_body_tests.cpp
+++ b/tests/unit/adapter/caller_body_tests.cpp
@@ -118,7 +118,7 @@
         INFO(body);
         CHECK(world.call("POST", job_path, body).status == 200);
         REQUIRE(world.jobs.submitted);
-        CHECK(world.jobs.submitted->lasts == durability::journalled);
+        CHECK(world.jobs.submitted->durability_class == durability::journalled);
         CHECK(world.jobs.submitted->steps.at(0).needs.cpu == 0);
         CHECK(world.jobs.submitted->steps.at(0).after.empty());
     }
@@ -198,5 +198,5 @@
     constexpr std::int64_t month_ms = 30LL * 24 * 3600 * 1000;
     CHECK(job.objective_ms > job.accepted_ms);
     CHECK(job.objective_ms - job.accepted_ms <= month_ms);
-    CHECK(job.give_up_ms - job.accepted_ms <= 3 * month_ms);
+    CHECK(job.expiry_ms - job.accepted_ms <= 3 * month_ms);
 }
--- a/tests/unit/adapter/client_front_tests.cpp
+++ b/tests/unit/adapter/client_front_tests.cpp
@@ -26,10 +26,10 @@
     CHECK(got.status == 200);
     CHECK(got.body == R"({"state":"running"})");
     REQUIRE(world.jobs.submitted);
-    CHECK(world.jobs.submitted->lasts == durability::in_memory);
+    CHECK(world.jobs.submitted->durability_class == durability::in_memory);
     CHECK(world.jobs.submitted->steps[0].needs.cpu == 1600);
     CHECK(world.jobs.submitted->steps[0].preferred_label == "r1-3");
-    CHECK(world.jobs.submitted->give_up_ms > 0);
+    CHECK(world.jobs.submitted->expiry_ms > 0);
 }
 
 TEST_CASE("refusals say when to come back, unknown ends say nothing")
--- a/tests/unit/adapter/early_requests_tests.cpp
+++ b/tests/unit/adapter/early_requests_tests.cpp
@@ -95,8 +95,8 @@
     const auto& job = world.jobs.submitted.front();
     CHECK(job.queue == "r-1");
     // Its client's patience began when it came.
-    CHECK(job.give_up_ms - job.accepted_ms <= 1800);
-    CHECK(job.give_up_ms - job.accepted_ms >= 1780);
+    CHECK(job.expiry_ms - job.accepted_ms <= 1800);
+    CHECK(job.expiry_ms - job.accepted_ms >= 1780);
     // So did the time by which it is expected, 60 ms and 1.6 times 1 s.
     CHECK(job.objective_ms - job.accepted_ms <= 1560);
     REQUIRE(world.leave);
--- a/tests/unit/durable/cancel_over_links_tests.cpp
+++ b/tests/unit/durable/cancel_over_links_tests.cpp
@@ -42,9 +42,9 @@
 };
 
 /// Plays until a condition holds; a deadlock is left to the test's timeout.
-struct cancel_play
+struct linked_entries_fixture
 {
-    cancel_play()
+    linked_entries_fixture()
         : agent_links(std::move(
               rpc_listener::create(loop.io(), "127.0.0.1", 0).value())),
           announcer(
@@ -73,13 +73,13 @@
         job.id = 7;
         job.queue = "queue-1";
         job.service = "service-1";
-        job.lasts = durability::in_memory;
+        job.durability_class = durability::in_memory;
         job.steps.resize(1);
         job.steps[0].needs = {1000, 10, 0};
         job.steps[0].estimate_ms = 60'000;
         job.objective_ms = wall_nanoseconds() / 1'000'000 + 60'000;
         job.accepted_ms = job.objective_ms - 60'000;
-        job.give_up_ms = job.accepted_ms + 120'000;
+        job.expiry_ms = job.accepted_ms + 120'000;
         reply.reset();
         submitted = true;
         at.service->submit(job, [this](const job_reply& got)
@@ -97,18 +97,18 @@
     void step()
     {
         const auto now = process_clock().now();
-        runner_loop.advance(now - std::exchange(stepped, now));
+        runner_loop.advance(now - std::exchange(last_step, now));
         store_loop.advance(milliseconds{100}); // Its feeds wait for long.
         manager.tick();
         agent->tick();
-        if (at_each_step())
+        if (done_condition())
             return loop.stop();
         run_after(loop.io(), step_time, [this] { step(); });
     }
 
-    void play(std::function<bool()> until)
+    void run_until(std::function<bool()> until)
     {
-        at_each_step = std::move(until);
+        done_condition = std::move(until);
         loop.run(
             [this]
             {
@@ -123,7 +123,7 @@
                     one->links->serve(one->service->bootstrap());
                     one->service->begin();
                 }
-                stepped = process_clock().now();
+                last_step = process_clock().now();
                 step();
             },
             [this]
@@ -150,21 +150,21 @@
     member_announcer announcer;
     linked_entry holder{loop, "holder"};
     linked_entry other{loop, "other"};
-    std::function<bool()> at_each_step;
+    std::function<bool()> done_condition;
     std::optional<job_reply> reply; ///< To the job's own caller.
     bool submitted = false;         ///< And taken, as far as is known.
-    instant stepped{};
+    instant last_step{};
 };
 
 } // namespace
 
 TEST_CASE("a job that runs for one entry is cancelled at another, for good")
 {
-    cancel_play world;
+    linked_entries_fixture world;
     std::optional<job_reply> cancelled;
     bool asked = false;
     bool again = false;
-    world.play(
+    world.run_until(
         [&]
         {
             if (!world.submitted)
--- a/tests/unit/durable/claim_evidence_tests.cpp
+++ b/tests/unit/durable/claim_evidence_tests.cpp
@@ -4,7 +4,7 @@
 #include "glenhollow/durable/claim_evidence.hpp"
 #include "glenhollow/durable/job_router.hpp"
 #include "glenhollow/durable/part_ownership.hpp"
-#include "unit/durable/coordinator_world.hpp"
+#include "unit/durable/coordinator_fixture.hpp"
 #include "unit/support/idle_entry.hpp"
 
 #include <catch2/catch.hpp>
@@ -26,7 +26,7 @@
     std::optional<part_number> lost;
 };
 
-struct owner_world : coordinator_world
+struct owner_world : coordinator_fixture
 {
     owner_world()
     {
@@ -35,8 +35,8 @@
         limits.incarnation = 7;
         limits.parts = 1;
         limits.jobs = settings();
-        ownership =
-            std::make_unique<part_ownership>(around(), peers, entry, limits);
+        ownership = std::make_unique<part_ownership>(dependencies(), peers,
+                                                     entry, limits);
         run(seconds{2});
         REQUIRE(ownership->find(0) != nullptr);
     }
@@ -136,8 +136,8 @@
     const auto ask = [&]
     {
         std::optional<job_outcome> told;
-        router.serve_here({job_verb::state, 99, {}},
-                          [&](const job_reply& got) { told = got.outcome; });
+        router.serve_locally({job_verb::state, 99, {}},
+                             [&](const job_reply& got) { told = got.outcome; });
         world.run(milliseconds{100});
         return told;
     };
--- a/tests/unit/durable/coordinator_world.hpp
+++ b/tests/unit/durable/coordinator_fixture.hpp
@@ -1,5 +1,5 @@
-#ifndef GLENHOLLOW_TESTS_COORDINATOR_WORLD_HPP
-#define GLENHOLLOW_TESTS_COORDINATOR_WORLD_HPP
+#ifndef GLENHOLLOW_TESTS_COORDINATOR_FIXTURE_HPP
+#define GLENHOLLOW_TESTS_COORDINATOR_FIXTURE_HPP
 
 #include "glenhollow/durable/job_coordinator.hpp"
 #include "unit/support/fake_row_store.hpp"
@@ -12,9 +12,9 @@
 inline constexpr std::int64_t noon_ms = 1'000'000;
 
 /// One coordinator, its dispatcher and agents that do as they are told.
-struct coordinator_world : order_sender, task_source
+struct coordinator_fixture : order_sender, task_source
 {
-    coordinator_world() : placing(loop.clock, *this, *this, {})
+    coordinator_fixture() : placing(loop.clock, *this, *this, {})
     {
         for (const auto* name : {"agent-1", "agent-2"})
             attach(name);
@@ -41,7 +41,7 @@
             placing.reported(name, report(name, runner_phase::draining));
     }
 
-    job_coordinator::dependencies around()
+    job_coordinator::dependencies dependencies()
     {
         return {loop.clock,
                 [this]
@@ -61,11 +61,12 @@
         auto limits = settings();
         limits.begin_by = begin_by;
         limits.warm_up = warm_up;
-        coordinator = std::make_unique<job_coordinator>(around(), limits);
+        coordinator = std::make_unique<job_coordinator>(dependencies(), limits);
         adopt(memory_part);
     }
 
-    void owner(std::uint32_t epoch, std::set<std::string> awaited = {},
+    void owner(std::uint32_t epoch,
+               std::set<std::string> unreported_agents = {},
                loaded_part loaded = {})
     {
         chain_head head;
@@ -74,8 +75,8 @@
         head.epoch = epoch;
         head.version = store.put(head_key(0), encode_head(head));
         coordinator = std::make_unique<job_coordinator>(
-            around(), 0, head, std::move(loaded), awaited, settings(),
-            [this] { ++lost; });
+            dependencies(), 0, head, std::move(loaded), unreported_agents,
+            settings(), [this] { ++lost; });
         adopt(0);
     }
 
@@ -111,8 +112,8 @@
     static job_definition memory_job(job_id id, std::uint32_t tasks = 2)
     {
         auto out = job(id, tasks);
-        out.lasts = durability::in_memory;
-        out.give_up_ms = noon_ms + 3000;
+        out.durability_class = durability::in_memory;
+        out.expiry_ms = noon_ms + 3000;
         return out;
     }
 
@@ -134,16 +135,16 @@
         }
     }
 
-    void end(const std::string& agent, const run_ref& run, run_outcome how)
+    void end(const std::string& agent, const run_ref& run, run_outcome outcome)
     {
-        coordinator->ended(agent, {run, how, ++numbers, 1000, true});
+        coordinator->ended(agent, {run, outcome, ++numbers, 1000, true});
         settle();
     }
 
-    void end_all(run_outcome how)
+    void end_all(run_outcome outcome)
     {
         for (const auto& [agent, run] : std::exchange(started, {}))
-            end(agent, run, how);
+            end(agent, run, outcome);
     }
 
     void send(const std::string& agent, order_batch batch) override
--- a/tests/unit/durable/dispatcher_tests.cpp
+++ b/tests/unit/durable/dispatcher_tests.cpp
@@ -146,8 +146,8 @@
     step.estimate_ms = 60;
     step.preferred_label = "rack-2";
     run_end end;
-    end.how = run_outcome::done;
-    end.micros = 180'000;
+    end.outcome = run_outcome::done;
+    end.duration_us = 180'000;
     for (int i = 0; i < 20; ++i)
         world.placing.note_end("a", end, step);
     CHECK(world.placing.agents().at("a").pace() == Approx(1.0));
--- a/tests/unit/durable/durable_service_tests.cpp
+++ b/tests/unit/durable/durable_service_tests.cpp
@@ -11,31 +11,31 @@
 {
 
 /// Another entry that only answers exchanges.
-class polite_peer final : public wire::EntryPeer::Server
+class exchange_only_peer final : public wire::EntryPeer::Server
 {
 public:
-    explicit polite_peer(std::function<void()> on_met)
-        : on_met_(std::move(on_met))
+    explicit exchange_only_peer(std::function<void()> on_call)
+        : on_call_(std::move(on_call))
     {
     }
 
     kj::Promise<void> exchange(ExchangeContext context) override
     {
         context.getResults().initView().setName("peer");
-        on_met_();
+        on_call_();
         return kj::READY_NOW;
     }
 
 private:
-    std::function<void()> on_met_; ///< Told of each exchange.
+    std::function<void()> on_call_; ///< Told of each exchange.
 };
 
 /// Another entry that has one job in memory and remembers a cancelled one.
-class holding_peer final : public wire::EntryPeer::Server
+class peer_with_jobs final : public wire::EntryPeer::Server
 {
 public:
-    explicit holding_peer(std::function<void()> on_met)
-        : on_met_(std::move(on_met))
+    explicit peer_with_jobs(std::function<void()> on_call)
+        : on_call_(std::move(on_call))
     {
     }
 
@@ -63,12 +63,12 @@
         auto jobs = context.getResults().initJobs(1);
         jobs[0].setJob(9);
         jobs[0].setState(static_cast<std::uint8_t>(job_state::cancelled));
-        on_met_();
+        on_call_();
         return kj::READY_NOW;
     }
 
 private:
-    std::function<void()> on_met_; ///< Told that it was asked what it knows.
+    std::function<void()> on_call_; ///< Told that it was asked what it knows.
 };
 
 /// An entry that claims the first part from the moment at which it sees that
@@ -77,48 +77,51 @@
 {
 public:
     /// What it saw, read by the test when the loop has ended.
-    struct seen
+    struct observations
     {
-        std::uint32_t epoch = 0; ///< Claimed; 0: nothing yet.
-        bool owned = false;      ///< The other says that it owns the part.
-        bool gives = false;      ///< Shows the claim as given away again.
-        int met = 0;             ///< Exchanges.
+        std::uint32_t epoch = 0;     ///< Claimed; 0: nothing yet.
+        bool owned = false;          ///< The other says that it owns the part.
+        bool shows_released = false; ///< Shows the claim as given away again.
+        int exchanges = 0;           ///< Exchanges.
     };
 
-    newer_owner(seen& seen, std::function<void()> on_end)
-        : seen_(seen), on_end_(std::move(on_end))
+    newer_owner(observations& observations, std::function<void()> on_end)
+        : observations_(observations), on_end_(std::move(on_end))
     {
     }
 
     kj::Promise<void> exchange(ExchangeContext context) override
     {
-        constexpr int patience = 100; // Exchanges, some seconds.
-        const auto theirs = context.getParams().getView().getParts();
-        seen_.owned = false;
-        for (const auto part : theirs)
+        constexpr int max_exchanges = 100; // Exchanges, some seconds.
+        const auto peer_parts = context.getParams().getView().getParts();
+        observations_.owned = false;
+        for (const auto part : peer_parts)
         {
             if (part.getPart() != 0)
                 continue;
-            seen_.owned = true;
-            seen_.epoch = std::max(seen_.epoch, part.getEpoch() + 1);
+            observations_.owned = true;
+            observations_.epoch =
+                std::max(observations_.epoch, part.getEpoch() + 1);
         }
-        auto mine = context.getResults().initView();
-        mine.setName("peer");
-        mine.setIncarnation(1);
-        if (seen_.epoch > 0)
+        auto own_view = context.getResults().initView();
+        own_view.setName("peer");
+        own_view.setIncarnation(1);
+        if (observations_.epoch > 0)
         {
-            auto claim =
-                seen_.gives ? mine.initReleased(1)[0] : mine.initParts(1)[0];
+            auto claim = observations_.shows_released
+                             ? own_view.initReleased(1)[0]
+                             : own_view.initParts(1)[0];
             claim.setPart(0);
-            claim.setEpoch(seen_.epoch);
+            claim.setEpoch(observations_.epoch);
         }
-        if (++seen_.met == patience || (seen_.epoch > 0 && !seen_.owned))
+        if (++observations_.exchanges == max_exchanges ||
+            (observations_.epoch > 0 && !observations_.owned))
             on_end_();
         return kj::READY_NOW;
     }
 
 private:
-    seen& seen_;                   ///< What it saw.
+    observations& observations_;   ///< What it saw.
     std::function<void()> on_end_; ///< Told when there is no more to see.
 };
 
@@ -143,8 +146,8 @@
     auto listener = rpc_listener::create(loop.io(), "127.0.0.1", 0);
     REQUIRE(listener);
     auto& links = *listener.value();
-    newer_owner::seen seen;
-    seen.gives = GENERATE(false, true);
+    newer_owner::observations observations;
+    observations.shows_released = GENERATE(false, true);
     std::function<void()> serve_store = [&]
     {
         store_loop.advance(milliseconds{10});
@@ -153,7 +156,8 @@
     loop.run(
         [&]
         {
-            links.serve(kj::heap<newer_owner>(seen, [&] { loop.stop(); }));
+            links.serve(
+                kj::heap<newer_owner>(observations, [&] { loop.stop(); }));
             service.add_seeds({{"127.0.0.1", links.port()}});
             service.begin();
             serve_store();
@@ -163,8 +167,8 @@
             service.close();
             links.close();
         });
-    CHECK(seen.epoch > 0);
-    CHECK_FALSE(seen.owned);
+    CHECK(observations.epoch > 0);
+    CHECK_FALSE(observations.owned);
 }
 
 TEST_CASE(
@@ -187,18 +191,18 @@
         store_loop.advance(milliseconds{10});
         run_after(loop.io(), milliseconds{10}, serve_store);
     };
-    std::vector<job_outcome> told;
+    std::vector<job_outcome> outcomes;
     bool at_once = false;
-    const auto stand_still = [&]
+    const auto suspend_process = [&]
     {
         store_loop.clock.advance(seconds{3});
         service.state(42,
                       [&](const job_reply& reply)
                       {
-                          told.push_back(reply.outcome);
+                          outcomes.push_back(reply.outcome);
                           loop.stop();
                       });
-        at_once = told.size() > 1;
+        at_once = outcomes.size() > 1;
     };
     loop.run(
         [&]
@@ -209,13 +213,14 @@
             service.state(42,
                           [&](const job_reply& reply)
                           {
-                              told.push_back(reply.outcome);
-                              run_after(loop.io(), duration{0}, stand_still);
+                              outcomes.push_back(reply.outcome);
+                              run_after(loop.io(), duration{0},
+                                        suspend_process);
                           });
         },
         [&] { service.close(); });
     CHECK_FALSE(at_once);
-    CHECK(told ==
+    CHECK(outcomes ==
           std::vector<job_outcome>{job_outcome::missing, job_outcome::missing});
 }
 
@@ -237,14 +242,14 @@
     auto listener = rpc_listener::create(loop.io(), "127.0.0.1", 0);
     REQUIRE(listener);
     auto& links = *listener.value();
-    int met = 0;
+    int exchanges = 0;
     loop.run(
         [&]
         {
-            links.serve(kj::heap<polite_peer>(
+            links.serve(kj::heap<exchange_only_peer>(
                 [&]
                 {
-                    if (++met == 3) // The last one stays unanswered.
+                    if (++exchanges == 3) // The last one stays unanswered.
                         loop.stop();
                 }));
             service.add_seeds({{"127.0.0.1", links.port()}});
@@ -255,7 +260,7 @@
             service.close();
             links.close();
         });
-    CHECK(met >= 3);
+    CHECK(exchanges >= 3);
 }
 
 TEST_CASE("a job in memory is cancelled over the link to its entry")
@@ -280,14 +285,14 @@
     {
         job_definition job;
         job.id = id;
-        job.lasts = durability::in_memory;
+        job.durability_class = durability::in_memory;
         service.submit(job, [&](const job_reply& reply) { again = reply; });
         loop.stop();
     };
     loop.run(
         [&]
         {
-            links.serve(kj::heap<holding_peer>(
+            links.serve(kj::heap<peer_with_jobs>(
                 [&]
                 {
                     service.cancel(7,
--- a/tests/unit/durable/foreign_peers_tests.cpp
+++ b/tests/unit/durable/foreign_peers_tests.cpp
@@ -4,7 +4,7 @@
 #include "glenhollow/durable/placement_wire.hpp"
 #include "glenhollow/durable/queue_catalog.hpp"
 #include "glenhollow/runs/run_wire.hpp"
-#include "unit/durable/coordinator_world.hpp"
+#include "unit/durable/coordinator_fixture.hpp"
 
 #include <capnp/message.h>
 #include <catch2/catch.hpp>
@@ -23,7 +23,7 @@
 
 job_definition chain_of_two()
 {
-    auto job = coordinator_world::job(1, 2);
+    auto job = coordinator_fixture::job(1, 2);
     job.steps.push_back(job.steps[0]);
     job.steps[1].count = 1;
     job.steps[1].after = {0};
@@ -38,7 +38,7 @@
     auto out = message.initRoot<wire::RunEnd>();
     fill(out, run_end{{{1, 0, 0, 0}, 5}, run_outcome::done, 3, 10, true});
     out.setHow(not_named);
-    CHECK(from_wire(out.asReader()).how == run_outcome::lapsed);
+    CHECK(from_wire(out.asReader()).outcome == run_outcome::lapsed);
 }
 
 TEST_CASE("an answer with a state that is not named here tells nothing")
@@ -60,13 +60,13 @@
     {
         capnp::MallocMessageBuilder message;
         auto out = message.initRoot<wire::HandedJob>();
-        fill(out, coordinator_world::memory_job(1), noon_ms);
+        fill(out, coordinator_fixture::memory_job(1), noon_ms);
         out.setObjectiveInMs(told);
         out.setGiveUpInMs(told);
         const auto job = from_wire(out.asReader(), noon_ms);
         constexpr std::int64_t year_ms = 365LL * 24 * 3600 * 1000;
         CHECK(std::abs(job.objective_ms - noon_ms) <= year_ms);
-        CHECK(std::abs(job.give_up_ms - noon_ms) <= year_ms);
+        CHECK(std::abs(job.expiry_ms - noon_ms) <= year_ms);
 
         capnp::MallocMessageBuilder other;
         auto want = other.initRoot<wire::PlacementSession::WantParams>();
@@ -115,7 +115,7 @@
          {task_ref{1, 0, 0, 2}, task_ref{1, 0, 2, 0}, task_ref{1, 1, 1, 0},
           task_ref{1, 0, 2, 0xFFFF'FFFF}})
     {
-        coordinator_world world;
+        coordinator_fixture world;
         world.owner(1);
         world.submit(chain_of_two());
         REQUIRE(world.started.size() == 2);
@@ -132,10 +132,10 @@
 
 TEST_CASE("a grant for a task that its job has not is not used")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.drain_all(); // Its tasks wait.
     world.owner(1);
-    world.submit(coordinator_world::job(1, 2));
+    world.submit(coordinator_fixture::job(1, 2));
     for (const task_ref& none :
          {task_ref{1, 0, 0, 2}, task_ref{1, 0, 9, 0},
           task_ref{1, 0, 0, 0xFFFF'FFFF}, task_ref{2, 0, 0, 0}})
@@ -175,18 +175,18 @@
 
 TEST_CASE("a row of an end that is none is not read")
 {
-    CHECK(decode_epitaph(encode_epitaph({job_state::failed, 7})));
-    CHECK_FALSE(decode_epitaph(encode_epitaph({job_state::queued, 7})));
-    CHECK_FALSE(decode_epitaph(encode_epitaph({job_state::running, 7})));
+    CHECK(decode_ended_job(encode_ended_job({job_state::failed, 7})));
+    CHECK_FALSE(decode_ended_job(encode_ended_job({job_state::queued, 7})));
+    CHECK_FALSE(decode_ended_job(encode_ended_job({job_state::running, 7})));
 }
 
 TEST_CASE("no amount of a resource makes room by its size")
 {
     const resources most{0xFFFF'FFFF, 0xFFFF'FFFF, 0xFFFF'FFFF};
     const resources room{8000, 1000, 1};
-    CHECK_FALSE(resources{1000, 10, 1}.leaves_room(most, room));
+    CHECK_FALSE(resources{1000, 10, 1}.can_fit(most, room));
     resources sum{1000, 10, 1};
     sum.add(most);
     CHECK(sum.cpu == 0xFFFF'FFFF);
-    CHECK_FALSE(sum.leaves_room({1, 0, 0}, room));
+    CHECK_FALSE(sum.can_fit({1, 0, 0}, room));
 }
--- a/tests/unit/durable/job_coordinator_memory_tests.cpp
+++ b/tests/unit/durable/job_coordinator_memory_tests.cpp
@@ -1,5 +1,5 @@
 // Jobs in memory.
-#include "unit/durable/coordinator_world.hpp"
+#include "unit/durable/coordinator_fixture.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -7,9 +7,9 @@
 
 TEST_CASE("a job in memory needs no store and is answered with its end")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory();
-    world.submit(coordinator_world::memory_job(1));
+    world.submit(coordinator_fixture::memory_job(1));
     CHECK(world.replies.empty());
     CHECK(world.store.transactions.empty());
     world.end_all(run_outcome::done);
@@ -19,9 +19,9 @@
 
 TEST_CASE("a job in memory that is given up is not called failed")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory();
-    world.submit(coordinator_world::memory_job(1));
+    world.submit(coordinator_fixture::memory_job(1));
     world.loop.advance(seconds{4});
     world.settle();
     CHECK(world.replies.at(1).outcome == job_outcome::unknown);
@@ -30,11 +30,11 @@
 
 TEST_CASE("a job of which nothing was handed out was surely not run")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory();
     // It fills all runners, so that the next one waits.
-    world.submit(coordinator_world::memory_job(1, 16));
-    world.submit(coordinator_world::memory_job(2));
+    world.submit(coordinator_fixture::memory_job(1, 16));
+    world.submit(coordinator_fixture::memory_job(2));
     REQUIRE(world.started.size() == 16);
     world.loop.advance(seconds{4});
     world.settle();
@@ -44,12 +44,12 @@
 
 TEST_CASE("a job that can't end in time for its caller is refused, not begun")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory();
-    auto fills = coordinator_world::memory_job(1, 16); // All runners.
-    fills.give_up_ms += 3000;
+    auto fills = coordinator_fixture::memory_job(1, 16); // All runners.
+    fills.expiry_ms += 3000;
     world.submit(fills);
-    auto waits = coordinator_world::memory_job(2);
+    auto waits = coordinator_fixture::memory_job(2);
     waits.steps[0].estimate_ms = 1000;
     world.submit(waits);
     world.loop.advance(milliseconds{1800});
@@ -70,13 +70,13 @@
 {
     // Found on a saturated deployment: callers heard after all their time that
     // their jobs had not run.
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory(0.5);
-    auto fills = coordinator_world::memory_job(1, 16); // All runners.
-    fills.give_up_ms += 3000;
+    auto fills = coordinator_fixture::memory_job(1, 16); // All runners.
+    fills.expiry_ms += 3000;
     world.submit(fills);
-    world.submit(coordinator_world::memory_job(2)); // Late after 0.9 s.
-    auto patient = coordinator_world::memory_job(3);
+    world.submit(coordinator_fixture::memory_job(2)); // Late after 0.9 s.
+    auto patient = coordinator_fixture::memory_job(3);
     patient.objective_ms += 1500; // In time until 2.4 s.
     world.submit(patient);
     world.loop.advance(milliseconds{1200});
@@ -94,9 +94,9 @@
 {
     // Found on saturated deployments: such callers were held to the end of
     // their time, and then told that their jobs may have run.
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory(0.5);
-    world.submit(coordinator_world::memory_job(1));
+    world.submit(coordinator_fixture::memory_job(1));
     REQUIRE(world.started.size() == 2);
     world.drain_all();
     world.end_all(run_outcome::not_begun);
@@ -110,9 +110,9 @@
 
 TEST_CASE("orders that come back after the latest begin are answered at once")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory(0.5);
-    world.submit(coordinator_world::memory_job(1));
+    world.submit(coordinator_fixture::memory_job(1));
     REQUIRE(world.started.size() == 2);
     world.drain_all();
     world.loop.advance(milliseconds{2000});
@@ -127,9 +127,9 @@
 
 TEST_CASE("a job with one task that has run is never said not to have run")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory(0.5);
-    world.submit(coordinator_world::memory_job(1));
+    world.submit(coordinator_fixture::memory_job(1));
     REQUIRE(world.started.size() == 2);
     world.drain_all();
     const auto orders = std::exchange(world.started, {});
@@ -143,13 +143,13 @@
 
 TEST_CASE("an order that was lost with its agent may have run")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory(0.5);
-    world.submit(coordinator_world::memory_job(1));
+    world.submit(coordinator_fixture::memory_job(1));
     REQUIRE(world.started.size() == 2);
     world.drain_all();
-    world.coordinator->agent_gone("agent-1");
-    world.coordinator->agent_gone("agent-2");
+    world.coordinator->on_agent_lost("agent-1");
+    world.coordinator->on_agent_lost("agent-2");
     world.loop.advance(milliseconds{2500});
     world.settle();
     CHECK(world.replies.empty());
@@ -160,20 +160,20 @@
 TEST_CASE("an order that its agent never took has not run, lost link or not")
 {
     // Found on a saturated deployment: callers of such jobs mustn't ask again.
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory(0.5);
-    world.submit(coordinator_world::memory_job(1, 1));
+    world.submit(coordinator_fixture::memory_job(1, 1));
     REQUIRE(world.started.size() == 1);
     const auto agent = world.started.front().first;
     world.drain_all();
     SECTION("its link was lost for a moment") {}
     SECTION("its link was lost for long")
     {
-        world.coordinator->agent_gone(agent);
+        world.coordinator->on_agent_lost(agent);
     }
     lease_account account;
     account.complete = true;
-    world.coordinator->account_of(agent, account);
+    world.coordinator->reconcile_agent(agent, account);
     world.loop.advance(milliseconds{1600});
     REQUIRE(world.replies.contains(1));
     CHECK(world.replies.at(1).outcome == job_outcome::refused);
@@ -182,16 +182,16 @@
 
 TEST_CASE("an order to a process of an agent that has ended may have run")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory(0.5);
-    world.submit(coordinator_world::memory_job(1, 1));
+    world.submit(coordinator_fixture::memory_job(1, 1));
     REQUIRE(world.started.size() == 1);
     const auto agent = world.started.front().first;
     world.drain_all();
-    world.coordinator->account_of(agent, {}); // Of its next process.
+    world.coordinator->reconcile_agent(agent, {}); // Of its next process.
     lease_account account;
     account.complete = true;
-    world.coordinator->account_of(agent, account); // The same, once more.
+    world.coordinator->reconcile_agent(agent, account); // The same, once more.
     world.loop.advance(milliseconds{2500});
     CHECK(world.replies.empty());
     world.loop.advance(milliseconds{1000});
@@ -200,20 +200,20 @@
 
 TEST_CASE("a lost order that its agent tells of later may have run until then")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory(0.5);
-    world.submit(coordinator_world::memory_job(1, 1));
+    world.submit(coordinator_fixture::memory_job(1, 1));
     REQUIRE(world.started.size() == 1);
     const auto [agent, run] = world.started.front();
     world.started.clear();
     world.drain_all();
-    world.coordinator->agent_gone(agent);
+    world.coordinator->on_agent_lost(agent);
     lease_account account;
     account.complete = true;
     account.ends.push_back({run, run_outcome::stopped, 1, 0, true});
     SECTION("it had begun")
     {
-        world.coordinator->account_of(agent, account);
+        world.coordinator->reconcile_agent(agent, account);
         world.loop.advance(milliseconds{2500});
         CHECK(world.replies.empty());
         world.loop.advance(milliseconds{1000});
@@ -221,8 +221,8 @@
     }
     SECTION("it had not")
     {
-        account.ends.front().how = run_outcome::not_begun;
-        world.coordinator->account_of(agent, account);
+        account.ends.front().outcome = run_outcome::not_begun;
+        world.coordinator->reconcile_agent(agent, account);
         world.loop.advance(milliseconds{1600});
         REQUIRE(world.replies.contains(1));
         CHECK(world.replies.at(1).outcome == job_outcome::refused);
@@ -231,9 +231,9 @@
 
 TEST_CASE("a caller that leaves takes its job in memory along")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory();
-    world.submit(coordinator_world::memory_job(1));
+    world.submit(coordinator_fixture::memory_job(1));
     world.coordinator->withdraw(1);
     world.settle();
     CHECK(world.stopped.size() == 2);
@@ -245,16 +245,16 @@
 
 TEST_CASE("a job sent again is given up at its own time, not the first one's")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory();
-    world.submit(coordinator_world::memory_job(1));
+    world.submit(coordinator_fixture::memory_job(1));
     world.coordinator->withdraw(1);
     world.loop.advance(seconds{2});
     world.replies.clear();
-    auto again = coordinator_world::memory_job(1);
+    auto again = coordinator_fixture::memory_job(1);
     again.accepted_ms += 2000;
     again.objective_ms += 2000;
-    again.give_up_ms += 2000;
+    again.expiry_ms += 2000;
     world.submit(again);
     // Past the first one's time, not past its own.
     world.loop.advance(milliseconds{1500});
@@ -268,13 +268,13 @@
 
 TEST_CASE("runs in memory that nobody claimed are left to their own entry")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory();
     lease_account account;
     const run_ref other{{77, 0, 0, 0}, first_memory_run + 1};
     account.runs.push_back({other, run_phase::running, false});
     account.ends.push_back({other, run_outcome::done, 3, 0, false});
-    world.coordinator->account_of("agent-1", account);
+    world.coordinator->reconcile_agent("agent-1", account);
     world.settle();
     CHECK(world.stopped.empty());
     CHECK(world.confirmed.empty());
@@ -283,25 +283,25 @@
 TEST_CASE("claimed ends are confirmed again after a session was lost")
 {
     // Found on a bench day: the runner's numbers stood still for good.
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory();
     lease_account account;
     const run_ref old{{77, 0, 0, 0}, first_memory_run + 1};
     account.ends.push_back({old, run_outcome::done, 3, 0, true});
-    world.coordinator->account_of("agent-1", account);
+    world.coordinator->reconcile_agent("agent-1", account);
     world.settle();
     CHECK(world.confirmed.size() == 1);
 }
 
 TEST_CASE("tasks of a silent agent are placed again, with higher numbers")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory();
-    world.submit(coordinator_world::memory_job(1));
+    world.submit(coordinator_fixture::memory_job(1));
     const auto first = std::exchange(world.started, {});
     const auto gone = first.front().first;
     world.placing.detached(gone);
-    world.coordinator->agent_gone(gone);
+    world.coordinator->on_agent_lost(gone);
     world.settle();
     REQUIRE_FALSE(world.started.empty());
     for (const auto& [agent, run] : world.started)
@@ -313,9 +313,9 @@
 
 TEST_CASE("a task that failed goes elsewhere if it can")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory();
-    world.submit(coordinator_world::memory_job(1, 1));
+    world.submit(coordinator_fixture::memory_job(1, 1));
     const auto [agent, run] = world.started.back();
     world.end(agent, run, run_outcome::failed);
     REQUIRE(world.started.size() == 2);
@@ -324,31 +324,32 @@
 
 TEST_CASE("without a runner, or while it stops, a coordinator takes no job")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory();
     world.coordinator->refuse_new();
-    world.submit(coordinator_world::memory_job(1));
+    world.submit(coordinator_fixture::memory_job(1));
     CHECK(world.replies.at(1).outcome == job_outcome::refused);
     world.in_memory();
     world.placing.detached("agent-1");
     world.placing.detached("agent-2");
-    world.submit(coordinator_world::memory_job(2));
+    world.submit(coordinator_fixture::memory_job(2));
     CHECK(world.replies.at(2).outcome == job_outcome::refused);
     CHECK(world.replies.at(2).retry_after > duration{});
 }
 
 TEST_CASE("the caller of a cancelled job in memory hears so at once")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory();
-    world.submit(coordinator_world::memory_job(1));
+    world.submit(coordinator_fixture::memory_job(1));
     REQUIRE(world.started.size() == 2);
-    std::optional<job_reply> told;
+    std::optional<job_reply> reply_received;
     CHECK(world.coordinator->knows(1));
-    world.coordinator->cancel(1, [&](const job_reply& reply) { told = reply; });
-    REQUIRE(told);
-    CHECK(told->outcome == job_outcome::done);
-    CHECK(told->state == job_state::cancelled);
+    world.coordinator->cancel(1, [&](const job_reply& reply)
+                              { reply_received = reply; });
+    REQUIRE(reply_received);
+    CHECK(reply_received->outcome == job_outcome::done);
+    CHECK(reply_received->state == job_state::cancelled);
     REQUIRE(world.replies.contains(1));
     CHECK(world.replies[1].outcome == job_outcome::done);
     CHECK(world.replies[1].state == job_state::cancelled);
@@ -364,23 +365,23 @@
 
 TEST_CASE("a cancelled job in memory that comes again is not run anew")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory();
-    world.submit(coordinator_world::memory_job(1));
+    world.submit(coordinator_fixture::memory_job(1));
     world.coordinator->cancel(1, [](const job_reply&) {});
     world.settle();
     world.started.clear();
     world.replies.clear();
-    world.submit(coordinator_world::memory_job(1));
+    world.submit(coordinator_fixture::memory_job(1));
     CHECK(world.replies[1].state == job_state::cancelled);
     CHECK(world.started.empty());
 }
 
 TEST_CASE("a job that is cancelled before any task is placed places none")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory();
-    world.coordinator->submit(coordinator_world::memory_job(1),
+    world.coordinator->submit(coordinator_fixture::memory_job(1),
                               [](const job_reply&) {});
     world.coordinator->cancel(1, [](const job_reply&) {});
     world.settle();
@@ -391,11 +392,11 @@
 {
     // Found where all VMs had lost power: who asked in the 0.2 s after their
     // return was refused, while the backend servers stood idle.
-    coordinator_world world;
+    coordinator_fixture world;
     world.placing.detached("agent-1");
     world.placing.detached("agent-2");
     world.in_memory(0.5, milliseconds{500});
-    world.submit(coordinator_world::memory_job(1));
+    world.submit(coordinator_fixture::memory_job(1));
     CHECK(world.replies.empty());
     CHECK(world.coordinator->stats().early == 1);
     SECTION("they attach")
@@ -410,7 +411,7 @@
     SECTION("none attaches")
     {
         world.loop.advance(milliseconds{600});
-        world.submit(coordinator_world::memory_job(2));
+        world.submit(coordinator_fixture::memory_job(2));
         CHECK(world.replies.at(2).outcome == job_outcome::refused);
         CHECK_FALSE(world.replies.contains(1));
         // After 0.9 s it would be late: room is for those who are not.
--- a/tests/unit/durable/job_coordinator_tests.cpp
+++ b/tests/unit/durable/job_coordinator_tests.cpp
@@ -1,5 +1,5 @@
 // Jobs in the journal.
-#include "unit/durable/coordinator_world.hpp"
+#include "unit/durable/coordinator_fixture.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -7,9 +7,9 @@
 
 TEST_CASE("a journalled job is accepted once its row is there, then started")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.owner(1);
-    world.coordinator->submit(coordinator_world::job(1),
+    world.coordinator->submit(coordinator_fixture::job(1),
                               [&](const job_reply& reply)
                               { world.replies[1] = reply; });
     CHECK(world.replies.empty());
@@ -22,9 +22,9 @@
 
 TEST_CASE("an end is confirmed only after it is in the journal")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.owner(1);
-    world.submit(coordinator_world::job(1));
+    world.submit(coordinator_fixture::job(1));
     world.store.down = true;
     const auto [agent, run] = world.started.front();
     world.end(agent, run, run_outcome::done);
@@ -37,41 +37,42 @@
 
 TEST_CASE("a job is shown as succeeded only once that is in the journal")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.owner(1);
-    world.submit(coordinator_world::job(1));
+    world.submit(coordinator_fixture::job(1));
     world.store.down = true;
     world.end_all(run_outcome::done);
-    std::optional<job_reply> shown;
-    world.coordinator->state(1, [&](const job_reply& reply) { shown = reply; });
+    std::optional<job_reply> state_reply;
+    world.coordinator->state(1, [&](const job_reply& reply)
+                             { state_reply = reply; });
     world.settle();
-    CHECK_FALSE(shown);
+    CHECK_FALSE(state_reply);
     world.store.down = false;
     world.loop.advance(seconds{1});
-    REQUIRE(shown);
-    CHECK(shown->state == job_state::succeeded);
+    REQUIRE(state_reply);
+    CHECK(state_reply->state == job_state::succeeded);
     CHECK_FALSE(world.store.find({"jobs", part_name(0), to_text(1)}));
 }
 
 TEST_CASE("a job sent again remains one job, also after its end")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.owner(1);
-    world.submit(coordinator_world::job(1));
-    world.submit(coordinator_world::job(1));
+    world.submit(coordinator_fixture::job(1));
+    world.submit(coordinator_fixture::job(1));
     CHECK(world.started.size() == 2);
     world.end_all(run_outcome::done);
-    world.submit(coordinator_world::job(1));
+    world.submit(coordinator_fixture::job(1));
     CHECK(world.started.empty());
     CHECK(world.replies.at(1).outcome == job_outcome::done);
 }
 
 TEST_CASE("without its store an owner refuses new jobs and starts none")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.owner(1);
     world.store.down = true;
-    world.submit(coordinator_world::job(1));
+    world.submit(coordinator_fixture::job(1));
     CHECK(world.replies.at(1).outcome == job_outcome::refused);
     world.store.down = false;
     world.settle();
@@ -81,9 +82,9 @@
 
 TEST_CASE("a successor starts nothing that a silent agent may still run")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.owner(1);
-    world.submit(coordinator_world::job(1));
+    world.submit(coordinator_fixture::job(1));
     const auto first = world.started;
     auto loaded = world.load();
     REQUIRE(loaded.jobs.size() == 1);
@@ -98,10 +99,10 @@
         if (agent == "agent-1")
             account.runs.push_back({run, run_phase::running, true});
     }
-    world.coordinator->account_of("agent-1", account);
+    world.coordinator->reconcile_agent("agent-1", account);
     world.settle();
     CHECK(world.started.empty());
-    world.loop.advance(job_coordinator_settings{}.agent_silence);
+    world.loop.advance(job_coordinator_settings{}.agent_timeout);
     world.settle();
     CHECK(world.started.size() == first.size() - account.runs.size());
     for (const auto& [agent, run] : world.started)
@@ -116,16 +117,16 @@
 // on under the last owner's lease, of 1.8 s, and its server's hold.
 TEST_CASE("a successor waits from its claim on for an agent silent before")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.owner(1);
-    world.submit(coordinator_world::job(1));
+    world.submit(coordinator_fixture::job(1));
     auto loaded = world.load();
     world.started.clear();
     world.owner(2, {"agent-1"}, std::move(loaded));
-    world.coordinator->agent_gone("agent-1");
+    world.coordinator->on_agent_lost("agent-1");
     world.settle();
     CHECK(world.started.empty());
-    world.loop.advance(job_coordinator_settings{}.agent_silence -
+    world.loop.advance(job_coordinator_settings{}.agent_timeout -
                        milliseconds{200});
     world.settle();
     CHECK(world.started.empty());
@@ -136,9 +137,9 @@
 
 TEST_CASE("attempts that failed count across owners, each run once")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.owner(1);
-    world.submit(coordinator_world::job(1, 1));
+    world.submit(coordinator_fixture::job(1, 1));
     const auto [agent, run] = world.started.front();
     world.end(agent, run, run_outcome::failed);
     auto loaded = world.load();
@@ -146,38 +147,42 @@
     world.settle();
     // The same end, told again: it was counted already.
     world.end(agent, run, run_outcome::failed);
-    std::optional<job_reply> shown;
-    world.coordinator->state(1, [&](const job_reply& reply) { shown = reply; });
+    std::optional<job_reply> state_reply;
+    world.coordinator->state(1, [&](const job_reply& reply)
+                             { state_reply = reply; });
     world.settle();
-    REQUIRE(shown);
-    CHECK_FALSE(is_final(shown->state));
+    REQUIRE(state_reply);
+    CHECK_FALSE(is_final(state_reply->state));
     const auto last = world.started.back();
     world.end(last.first, last.second, run_outcome::failed);
-    world.coordinator->state(1, [&](const job_reply& reply) { shown = reply; });
-    CHECK(shown->state == job_state::failed);
+    world.coordinator->state(1, [&](const job_reply& reply)
+                             { state_reply = reply; });
+    CHECK(state_reply->state == job_state::failed);
 }
 
 TEST_CASE("a cancelled job is journalled so, and what runs is stopped")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.owner(1);
-    world.submit(coordinator_world::job(1));
-    std::optional<job_reply> told;
-    world.coordinator->cancel(1, [&](const job_reply& reply) { told = reply; });
-    CHECK_FALSE(told);
+    world.submit(coordinator_fixture::job(1));
+    std::optional<job_reply> outcomes;
+    world.coordinator->cancel(1, [&](const job_reply& reply)
+                              { outcomes = reply; });
+    CHECK_FALSE(outcomes);
     world.settle();
-    REQUIRE(told);
-    CHECK(told->state == job_state::cancelled);
+    REQUIRE(outcomes);
+    CHECK(outcomes->state == job_state::cancelled);
     CHECK(world.stopped.size() == 2);
-    world.coordinator->cancel(9, [&](const job_reply& reply) { told = reply; });
-    CHECK(told->outcome == job_outcome::missing);
+    world.coordinator->cancel(9, [&](const job_reply& reply)
+                              { outcomes = reply; });
+    CHECK(outcomes->outcome == job_outcome::missing);
 }
 
 TEST_CASE("a later step waits for all tasks of the step before it")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.owner(1);
-    auto two = coordinator_world::job(1, 2);
+    auto two = coordinator_fixture::job(1, 2);
     two.steps.push_back(two.steps[0]);
     two.steps[1].after = {0};
     world.submit(two);
@@ -197,10 +202,10 @@
         for (const auto* value : {"", "{", "[]", "[[9],[]]", "[[0,0],[]]"})
         {
             INFO(table << " " << value);
-            coordinator_world world;
+            coordinator_fixture world;
             world.owner(1);
-            world.submit(coordinator_world::job(1));
-            world.submit(coordinator_world::job(2));
+            world.submit(coordinator_fixture::job(1));
+            world.submit(coordinator_fixture::job(2));
             row_transaction change;
             change.puts.push_back({{table, part_name(0), to_text(1)}, value});
             world.store.commit(change, [](const commit_result&) {});
@@ -213,14 +218,15 @@
             for (const auto& [agent, run] : world.started)
                 CHECK(run.task.job == 2); // The others go on.
             CHECK(world.started.size() == 2);
-            std::vector<job_outcome> told;
-            const auto note = [&](const job_reply& reply)
-            { told.push_back(reply.outcome); };
-            world.coordinator->state(1, note);
-            world.coordinator->cancel(1, note);
+            std::vector<job_outcome> outcomes;
+            const auto record_outcome = [&](const job_reply& reply)
+            { outcomes.push_back(reply.outcome); };
+            world.coordinator->state(1, record_outcome);
+            world.coordinator->cancel(1, record_outcome);
             world.replies.clear();
-            world.submit(coordinator_world::job(1)); // Sent again.
-            CHECK(told == std::vector<job_outcome>(2, job_outcome::unknown));
+            world.submit(coordinator_fixture::job(1)); // Sent again.
+            CHECK(outcomes ==
+                  std::vector<job_outcome>(2, job_outcome::unknown));
             CHECK(world.replies.at(1).outcome == job_outcome::unknown);
             CHECK(world.started.size() == 2);
             const auto row =
--- a/tests/unit/durable/job_rows_tests.cpp
+++ b/tests/unit/durable/job_rows_tests.cpp
@@ -66,7 +66,8 @@
     CHECK(known.value().done == progress.done);
     CHECK(known.value().failed == progress.failed);
 
-    const auto end = decode_epitaph(encode_epitaph({job_state::cancelled, 77}));
+    const auto end =
+        decode_ended_job(encode_ended_job({job_state::cancelled, 77}));
     REQUIRE(end);
     CHECK(end.value().state == job_state::cancelled);
 }
@@ -76,7 +77,7 @@
     CHECK_FALSE(decode_definition("{"));
     CHECK_FALSE(decode_definition("[]"));
     CHECK_FALSE(decode_progress("[1]"));
-    CHECK_FALSE(decode_epitaph("[99,1]"));
+    CHECK_FALSE(decode_ended_job("[99,1]"));
 }
 
 TEST_CASE("a job of a wrong form is refused with its field's name")
@@ -101,13 +102,13 @@
 TEST_CASE("a job in memory is given up when nobody waits or wants its end")
 {
     auto job = sample();
-    job.lasts = durability::in_memory;
-    job.give_up_ms = 5000;
-    CHECK(admit_form(job, rule(), 1000).value().give_up_ms == 1000 + 900);
-    job.give_up_ms = 400;
-    CHECK(admit_form(job, rule(), 1000).value().give_up_ms == 1400);
-    job.lasts = durability::journalled;
-    CHECK(admit_form(job, rule(), 1000).value().give_up_ms == 0);
+    job.durability_class = durability::in_memory;
+    job.expiry_ms = 5000;
+    CHECK(admit_form(job, rule(), 1000).value().expiry_ms == 1000 + 900);
+    job.expiry_ms = 400;
+    CHECK(admit_form(job, rule(), 1000).value().expiry_ms == 1400);
+    job.durability_class = durability::journalled;
+    CHECK(admit_form(job, rule(), 1000).value().expiry_ms == 0);
 }
 
 TEST_CASE("the longest matching prefix of the host names the queue")
--- a/tests/unit/durable/part_ownership_tests.cpp
+++ b/tests/unit/durable/part_ownership_tests.cpp
@@ -12,7 +12,7 @@
 // Cause: an owner took the agents that it knew for all that there are.
 #include "glenhollow/durable/member_directory.hpp"
 #include "glenhollow/durable/part_ownership.hpp"
-#include "unit/durable/coordinator_world.hpp"
+#include "unit/durable/coordinator_fixture.hpp"
 #include "unit/support/idle_entry.hpp"
 
 #include <catch2/catch.hpp>
@@ -35,7 +35,7 @@
 };
 
 /// Its part, and the agents that work for whoever owns it.
-struct taken_part_world : coordinator_world
+struct taken_part_world : coordinator_fixture
 {
     taken_part_world()
     {
@@ -48,15 +48,15 @@
         limits.entry = "entry-2";
         limits.parts = 1;
         limits.jobs = settings();
-        ownership =
-            std::make_unique<part_ownership>(around(), peers, entry, limits);
+        ownership = std::make_unique<part_ownership>(dependencies(), peers,
+                                                     entry, limits);
     }
 
     std::optional<run_order> assign(const ready_task& task,
                                     const std::string& agent) override
     {
         if (!ownership)
-            return coordinator_world::assign(task, agent);
+            return coordinator_fixture::assign(task, agent);
         auto* jobs = ownership->find(0);
         return jobs == nullptr ? std::nullopt : jobs->assign(task, agent);
     }
@@ -96,8 +96,8 @@
     lease_account account;
     account.ends.push_back(
         {{{7, 0, 0, 0}, 1}, run_outcome::done, 1, 1000, true});
-    world.ownership->find(0)->account_of("agent-1", account);
-    world.ownership->find(0)->account_of("agent-2", {});
+    world.ownership->find(0)->reconcile_agent("agent-1", account);
+    world.ownership->find(0)->reconcile_agent("agent-2", {});
     world.run(milliseconds{100});
     REQUIRE(world.started.size() == 1);
     CHECK(world.started.front().second.task == task_ref{7, 0, 0, 1});
@@ -112,7 +112,7 @@
     world.run(seconds{2});
     auto* jobs = world.ownership->find(0);
     REQUIRE(jobs != nullptr);
-    world.ownership->find(0)->account_of("agent-1", {});
+    world.ownership->find(0)->reconcile_agent("agent-1", {});
     world.run(milliseconds{100});
     CHECK(world.started.size() == 2);
 }
--- a/tests/unit/durable/server_order_tests.cpp
+++ b/tests/unit/durable/server_order_tests.cpp
@@ -1,5 +1,5 @@
 // Which backend server a task goes to: cold, leaving, quick and slow ones.
-#include "unit/durable/coordinator_world.hpp"
+#include "unit/durable/coordinator_fixture.hpp"
 #include "unit/durable/placement_world.hpp"
 
 #include <catch2/catch.hpp>
@@ -155,7 +155,7 @@
     world.runner("a", "rack-1");
     world.placing.reported("a", leaving_report(seconds{2}));
     run_end end;
-    end.how = run_outcome::stopped;
+    end.outcome = run_outcome::stopped;
     for (int i = 0; i < 20; ++i)
         world.placing.note_end("a", end, {});
     world.placing.reported("a", placement_world::report("rack-1", 0));
@@ -200,14 +200,14 @@
 
 TEST_CASE("a task stopped at a leaving server starts elsewhere, once it ended")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory();
-    world.submit(coordinator_world::memory_job(1, 1));
+    world.submit(coordinator_fixture::memory_job(1, 1));
     REQUIRE(world.started.size() == 1);
     const auto [agent, run] = world.started.front();
     const std::string other = agent == "agent-1" ? "agent-2" : "agent-1";
     world.started.clear();
-    auto leaving = coordinator_world::report(agent, runner_phase::draining);
+    auto leaving = coordinator_fixture::report(agent, runner_phase::draining);
     leaving.room.leaves_in = seconds{2};
     world.placing.reported(agent, leaving);
     world.settle();
@@ -224,21 +224,22 @@
 TEST_CASE("a task moved to a server that leaves as well is moved once more")
 {
     // Two waves that overlap.
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory();
-    world.submit(coordinator_world::memory_job(1, 1));
+    world.submit(coordinator_fixture::memory_job(1, 1));
     for (int wave = 0; wave < 2; ++wave)
     {
         REQUIRE(world.started.size() == 1);
         const auto [agent, run] = world.started.front();
         world.started.clear();
-        auto leaving = coordinator_world::report(agent, runner_phase::draining);
+        auto leaving =
+            coordinator_fixture::report(agent, runner_phase::draining);
         leaving.room.leaves_in = seconds{2};
         world.placing.reported(agent, leaving);
         world.end(agent, run, run_outcome::stopped);
     }
     CHECK(world.started.empty()); // No server takes work.
-    auto back = coordinator_world::report("agent-1", runner_phase::ready);
+    auto back = coordinator_fixture::report("agent-1", runner_phase::ready);
     back.account.instance = "another life";
     world.placing.reported("agent-1", back);
     world.settle();
@@ -249,16 +250,16 @@
 
 TEST_CASE("an order of a job in memory tells how long its end is of use")
 {
-    coordinator_world world;
+    coordinator_fixture world;
     world.in_memory();
     for (const auto* name : {"agent-1", "agent-2"})
     {
-        auto full = coordinator_world::report(name, runner_phase::ready);
+        auto full = coordinator_fixture::report(name, runner_phase::ready);
         full.room.used = full.account.capacity; // The task waits.
         world.placing.reported(name, full);
     }
     ready_task wanted;
-    world.submit(coordinator_world::memory_job(1, 1)); // Of 3 s.
+    world.submit(coordinator_fixture::memory_job(1, 1)); // Of 3 s.
     wanted.task.job = 1;
     const auto order = world.coordinator->assign(wanted, "agent-1");
     REQUIRE(order);
--- a/tests/unit/hosting/job_handover_tests.cpp
+++ b/tests/unit/hosting/job_handover_tests.cpp
@@ -128,13 +128,13 @@
         out.id = id;
         out.queue = "queue-1";
         out.service = "service-1";
-        out.lasts = durability::in_memory;
+        out.durability_class = durability::in_memory;
         out.steps.resize(1);
         out.steps[0].needs = {1000, 10, 0};
         out.steps[0].estimate_ms = 60'000;
         out.accepted_ms = wall_nanoseconds() / 1'000'000;
         out.objective_ms = out.accepted_ms + 60'000;
-        out.give_up_ms = out.accepted_ms + 120'000;
+        out.expiry_ms = out.accepted_ms + 120'000;
         return out;
     }
 
--- a/tests/unit/platform/foreign_input_tests.cpp
+++ b/tests/unit/platform/foreign_input_tests.cpp
@@ -279,7 +279,7 @@
     CHECK(good.value().running[0].percent == 41);
     REQUIRE(good.value().finished.size() == 1);
     CHECK(good.value().finished[0].number == 58);
-    CHECK(good.value().finished[0].how == run_outcome::done);
+    CHECK(good.value().finished[0].outcome == run_outcome::done);
     const std::vector<bad_change> bad_lists{
         {"running",
          R"("running":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb8",41]],)", ""},
@@ -313,7 +313,7 @@
     const auto odd =
         decode_lists(replaced(good_lists, R"("done")", R"("evaporated")"));
     REQUIRE(odd);
-    CHECK(odd.value().finished[0].how == run_outcome::lapsed);
+    CHECK(odd.value().finished[0].outcome == run_outcome::lapsed);
     const auto foreign = decode_lists(
         replaced(good_lists, "5c0e7a21d94b36f8.0.1.17", "somebody's"));
     REQUIRE(foreign);
--- a/tests/unit/platform/restarted_server_tests.cpp
+++ b/tests/unit/platform/restarted_server_tests.cpp
@@ -140,7 +140,7 @@
     world.run(milliseconds{50});
     CHECK(world.server.running.empty());
     REQUIRE(world.told.size() == 1);
-    CHECK(world.told[0].how == run_outcome::not_begun);
+    CHECK(world.told[0].outcome == run_outcome::not_begun);
 }
 
 TEST_CASE("ends of a server that ran again under its id are known",
@@ -155,7 +155,7 @@
     world.server.finish(world.ref(7), run_outcome::done);
     world.run(milliseconds{200});
     REQUIRE(world.told.size() == 1);
-    CHECK(world.told[0].how == run_outcome::done);
+    CHECK(world.told[0].outcome == run_outcome::done);
     CHECK(world.manager.stats().vanished == 0);
 }
 
@@ -190,7 +190,7 @@
     world.beat(second_born, 1, "ready");
     world.run(milliseconds{1500});
     REQUIRE(world.told.size() == 1);
-    CHECK(world.told[0].how == run_outcome::lapsed);
+    CHECK(world.told[0].outcome == run_outcome::lapsed);
 }
 
 TEST_CASE("what ran when its server ended has ended, and nothing else",
@@ -207,13 +207,13 @@
     world.run(milliseconds{300});
     REQUIRE(world.told.size() == 1);
     CHECK(world.told[0].run == world.ref(7));
-    CHECK(world.told[0].how == run_outcome::lapsed);
+    CHECK(world.told[0].outcome == run_outcome::lapsed);
     REQUIRE(world.server.running.size() == 1);
     CHECK(world.server.running[0] == world.ref(8));
     world.server.finish(world.ref(8), run_outcome::done);
     world.run(milliseconds{200});
     REQUIRE(world.told.size() == 2);
-    CHECK(world.told[1].how == run_outcome::done);
+    CHECK(world.told[1].outcome == run_outcome::done);
 }
 
 TEST_CASE("a life that has not registered gets no work under the last one's id",
@@ -269,7 +269,7 @@
     world.run(milliseconds{10});
     CHECK(world.manager.account().instance.empty());
     REQUIRE(world.told.size() == 1);
-    CHECK(world.told[0].how == run_outcome::lapsed);
+    CHECK(world.told[0].outcome == run_outcome::lapsed);
 }
 
 TEST_CASE("a sign-off without notice counts when nobody listens any more",
@@ -284,7 +284,7 @@
     world.run(milliseconds{150});
     CHECK(world.manager.account().instance.empty());
     REQUIRE(world.told.size() == 1);
-    CHECK(world.told[0].how == run_outcome::lapsed);
+    CHECK(world.told[0].outcome == run_outcome::lapsed);
 }
 
 TEST_CASE("a server that nobody listens at gets no work until it answers",
@@ -298,7 +298,7 @@
     world.order(7);
     world.run(milliseconds{10});
     REQUIRE(world.told.size() == 1);
-    CHECK(world.told[0].how == run_outcome::not_begun);
+    CHECK(world.told[0].outcome == run_outcome::not_begun);
     CHECK(world.server.started.at(42) == 3);
     world.server.ended = false; // The same life: it was cut off.
     world.run(milliseconds{100});
--- a/tests/unit/runs/end_ledger_tests.cpp
+++ b/tests/unit/runs/end_ledger_tests.cpp
@@ -11,7 +11,7 @@
 {
     run_end end;
     end.run = {{7, 0, 0, index}, 1};
-    end.how = run_outcome::done;
+    end.outcome = run_outcome::done;
     end.number = number;
     return end;
 }
--- a/tests/unit/runs/returned_server_tests.cpp
+++ b/tests/unit/runs/returned_server_tests.cpp
@@ -188,7 +188,7 @@
         server.finish(ref(3), run_outcome::done);
         run(milliseconds{300});
         REQUIRE(told.size() == 1);
-        CHECK(told[0].how == run_outcome::done);
+        CHECK(told[0].outcome == run_outcome::done);
         CHECK(manager.stats().vanished == 0);
         CHECK(manager.stats().marks_misread == 0);
         CHECK(server.confirmed == 1);
@@ -269,6 +269,6 @@
     world.reads_registration();
     world.run(milliseconds{300});
     REQUIRE(world.told.size() == 1);
-    CHECK(world.told[0].how == run_outcome::done);
+    CHECK(world.told[0].outcome == run_outcome::done);
     CHECK(world.server.confirmed == 0);
 }
--- a/tests/unit/runs/run_manager_leaving_tests.cpp
+++ b/tests/unit/runs/run_manager_leaving_tests.cpp
@@ -87,7 +87,7 @@
     const auto told = world.ends();
     REQUIRE(told.size() == 1);
     CHECK(told[0].run == run);
-    CHECK(told[0].how == run_outcome::stopped);
+    CHECK(told[0].outcome == run_outcome::stopped);
     CHECK(world.manager->stats().moved == 1);
     CHECK(world.manager->stats().moved_ms >= 40);
     CHECK(world.runner.stops == 1);
@@ -141,7 +141,7 @@
     CHECK(world.manager->stats().refused_leaving == 1);
     const auto told = world.ends();
     REQUIRE(told.size() == 1);
-    CHECK(told[0].how == run_outcome::not_begun);
+    CHECK(told[0].outcome == run_outcome::not_begun);
 }
 
 TEST_CASE("a notice that was read late counts from when it was told")
@@ -194,7 +194,7 @@
     world.manager->departed("life-1");
     const auto told = world.ends();
     REQUIRE(told.size() == 1);
-    CHECK(told[0].how == run_outcome::lapsed);
+    CHECK(told[0].outcome == run_outcome::lapsed);
 }
 
 TEST_CASE("the pace of a server is learned from all its ends, for one life")
--- a/tests/unit/runs/run_manager_lives_tests.cpp
+++ b/tests/unit/runs/run_manager_lives_tests.cpp
@@ -116,7 +116,7 @@
     CHECK(world.manager->account().instance == "life-2");
     const auto told = world.ends();
     REQUIRE(told.size() == 1);
-    CHECK(told[0].how == run_outcome::lapsed);
+    CHECK(told[0].outcome == run_outcome::lapsed);
     world.order(1);
     world.run(milliseconds{20});
     CHECK(world.runner.running.size() == 1);
@@ -165,7 +165,7 @@
     CHECK(world.runner.running.size() == 1);
     const auto told = world.ends();
     REQUIRE(told.size() == 1);
-    CHECK(told[0].how == run_outcome::not_begun);
+    CHECK(told[0].outcome == run_outcome::not_begun);
     world.registers("life-1"); // Its heartbeats say that it is ready.
     world.run(milliseconds{20});
     CHECK(world.manager->account().phase == runner_phase::draining);
--- a/tests/unit/runs/run_manager_tests.cpp
+++ b/tests/unit/runs/run_manager_tests.cpp
@@ -104,7 +104,7 @@
     world.run(milliseconds{250});
     const auto told = world.ends();
     REQUIRE(told.size() == 1);
-    CHECK(told[0].how == run_outcome::done);
+    CHECK(told[0].outcome == run_outcome::done);
     CHECK(world.runner.confirmed == 0);
     world.manager->confirm(told[0]);
     world.run(milliseconds{50});
@@ -130,7 +130,7 @@
     world.run(milliseconds{700});
     const auto told = world.ends();
     REQUIRE(told.size() == 1);
-    CHECK(told[0].how == run_outcome::not_begun);
+    CHECK(told[0].outcome == run_outcome::not_begun);
     // It arrives seconds later.
     REQUIRE(world.runner.late_starts.size() == 1);
     const auto& [run, context] = world.runner.late_starts.front();
@@ -147,7 +147,7 @@
     world.run(milliseconds{60});
     const auto told = world.ends();
     REQUIRE(told.size() == 1);
-    CHECK(told[0].how == run_outcome::not_begun);
+    CHECK(told[0].outcome == run_outcome::not_begun);
     CHECK(world.manager->room().used.cpu == 0);
 }
 
@@ -159,7 +159,7 @@
     world.run(milliseconds{250});
     const auto told = world.ends();
     REQUIRE(told.size() == 1);
-    CHECK(told[0].how == run_outcome::not_begun);
+    CHECK(told[0].outcome == run_outcome::not_begun);
     CHECK(world.runner.stops == 2);
 }
 
@@ -238,7 +238,7 @@
     world.run(milliseconds{20});
     const auto told = world.ends();
     REQUIRE(told.size() == 1);
-    CHECK(told[0].how == run_outcome::not_begun);
+    CHECK(told[0].outcome == run_outcome::not_begun);
     CHECK(world.runner.running.empty());
 }
 
@@ -269,7 +269,7 @@
     CHECK(world.runner.running.empty());
     const auto told = world.ends();
     REQUIRE(told.size() == 1);
-    CHECK(told[0].how == run_outcome::not_begun);
+    CHECK(told[0].outcome == run_outcome::not_begun);
 }
 
 TEST_CASE("an order that brings a lease starts at once, for as long as that is")
@@ -296,7 +296,7 @@
     CHECK(world.runner.running.empty());
     const auto told = world.ends();
     REQUIRE(told.size() == 1);
-    CHECK(told[0].how == run_outcome::not_begun);
+    CHECK(told[0].outcome == run_outcome::not_begun);
 }
 
 TEST_CASE("a lease is in use while its holder has a run or an end here")
@@ -319,7 +319,7 @@
     world.run(milliseconds{50});
     const auto told = world.ends();
     REQUIRE(told.size() == 1);
-    CHECK(told[0].how == run_outcome::stopped);
+    CHECK(told[0].outcome == run_outcome::stopped);
     // The runner was not held back meanwhile.
     CHECK(world.runner.confirmed == 1);
 }
@@ -383,7 +383,7 @@
     // A successor is still told of it.
     const auto known = world.manager->adopt(part, 2);
     REQUIRE(known.ends.size() == 1);
-    CHECK(known.ends[0].how == run_outcome::done);
+    CHECK(known.ends[0].outcome == run_outcome::done);
 }
 
 TEST_CASE("an order that waits does not begin under a later owner's lease")
@@ -403,7 +403,7 @@
     const auto known = world.manager->adopt(part, 3);
     CHECK(known.runs.empty());
     REQUIRE(known.ends.size() == 1);
-    CHECK(known.ends[0].how == run_outcome::not_begun);
+    CHECK(known.ends[0].outcome == run_outcome::not_begun);
     world.manager->renew(part, 3, world.loop.clock.now());
     world.run(milliseconds{20});
     CHECK(world.runner.started.empty());
@@ -429,7 +429,7 @@
     const auto known = world.manager->adopt(part, 1);
     CHECK(known.runs.empty());
     REQUIRE(known.ends.size() == 1);
-    CHECK(known.ends[0].how == run_outcome::not_begun);
+    CHECK(known.ends[0].outcome == run_outcome::not_begun);
     world.manager->renew(part, 1, world.loop.clock.now());
     world.run(milliseconds{20});
     CHECK(world.runner.started.empty());
@@ -464,7 +464,7 @@
     world.run(milliseconds{10}); // Until a look has met the new life.
     const auto told = world.ends();
     REQUIRE(told.size() == 1);
-    CHECK(told[0].how == run_outcome::lapsed);
+    CHECK(told[0].outcome == run_outcome::lapsed);
     CHECK(told[0].number == 0);
 }
 
@@ -490,7 +490,7 @@
     CHECK(world.manager->account().phase == runner_phase::absent);
     const auto told = world.ends();
     REQUIRE(told.size() == 1);
-    CHECK(told[0].how == run_outcome::lapsed);
+    CHECK(told[0].outcome == run_outcome::lapsed);
 }
 
 TEST_CASE("a runner that refuses starts is left alone for a while")
--- a/tests/unit/runs/suspended_machine_tests.cpp
+++ b/tests/unit/runs/suspended_machine_tests.cpp
@@ -113,7 +113,7 @@
     world.pass(seconds{1}, false);
     const auto ends = world.manager.take_ends(entry_lease);
     REQUIRE(ends.size() == 1);
-    CHECK(ends.front().how == run_outcome::lapsed);
+    CHECK(ends.front().outcome == run_outcome::lapsed);
 }
 
 TEST_CASE("no start after a suspension goes on past its lease", "[suspended]")
--- a/tests/unit/support/fake_runner_port.hpp
+++ b/tests/unit/support/fake_runner_port.hpp
@@ -136,13 +136,13 @@
     }
 
     /// @param run Ends so.
-    void finish(run_ref run, run_outcome how)
+    void finish(run_ref run, run_outcome outcome)
     {
         const auto known = std::find(running.begin(), running.end(), run);
         if (known == running.end())
             return;
         running.erase(known);
-        ends.push_back({run, how, ++numbers, 0, true});
+        ends.push_back({run, outcome, ++numbers, 0, true});
     }
 
     /// Kills what nobody renewed.
