--- a/src/glenhollow/durable/cancel_cache.cpp
+++ b/src/glenhollow/durable/cancel_cache.cpp
@@ -19,7 +19,7 @@
     return true;
 }
 
-void cancel_cache::found(job_id id, job_state state)
+void cancel_cache::set_end_state(job_id id, job_state state)
 {
     const auto known = known_.find(id);
     if (known == known_.end())
@@ -40,8 +40,8 @@
     order_.pop_front();
 }
 
-/// What another entry told has an earlier time than its neighbours, and stays
-/// with them a little longer.
+/// A cancel fetched from another entry may be older than its predecessors in
+/// the insertion order, and is then kept slightly longer.
 void cancel_cache::expire(instant now)
 {
     while (!order_.empty() &&
--- a/src/glenhollow/durable/cancel_cache.hpp
+++ b/src/glenhollow/durable/cancel_cache.hpp
@@ -15,69 +15,64 @@
 namespace glenhollow
 {
 
-/// Bounds of what is remembered.
+/// Bounds of a cancel_cache.
 struct cancel_cache_settings
 {
-    duration retention =
-        seconds{60}; ///< A caller that had no answer sends its job
-                     ///< again while it is patient: for 30 s at
-                     ///< most, and a cancel may come before it.
-    std::size_t max_jobs = 20'000; ///< Jobs; the oldest goes first. Some 2 MB,
-                                   ///< and 333 cancels a second for `keep`.
+    duration retention = seconds{60}; ///< Exceeds the time for which callers
+                                      ///< resubmit a job, 30 s.
+    /// Capacity; the oldest entry is evicted first.
+    std::size_t max_jobs = 20'000;
 };
 
-/// A job in memory that its caller has cancelled.
+/// A cancelled in-memory job.
 struct cached_cancel
 {
-    job_state state = job_state::cancelled; ///< How it ended, as far as known.
-    bool found = false;                     ///< Some entry had it.
-    instant cancelled_at{};                 ///< When its cancelling was heard.
+    job_state state = job_state::cancelled; ///< Last known end state.
+    bool found = false;                     ///< Whether an entry had the job.
+    instant cancelled_at{}; ///< Time at which its cancel was received.
 };
 
-/// The jobs in memory that were cancelled lately, so that one that arrives
-/// again, or for the first time, is not run.
+/// Recently cancelled in-memory jobs. A submission that arrives after its
+/// cancel is rejected by a look-up here.
 class cancel_cache final
 {
 public:
-    /// @param settings Bounds.
     explicit cancel_cache(const cancel_cache_settings& settings)
         : settings_(settings)
     {
     }
 
-    /// Repeated, it keeps its first time.
-    /// @param id A job that is cancelled.
-    /// @param now The time, or when it was heard elsewhere.
-    /// @return Whether it is news.
+    /// Adds a cancelled job; a job that is present keeps its time.
+    /// @param now Time at which the cancel was received by any entry.
+    /// @return Whether the job was added.
     bool record(job_id id, instant now);
 
-    /// @param id A job that is remembered, else nothing is done.
-    /// @param state How it ended, by the entry that had it.
-    void found(job_id id, job_state state);
+    /// Records how a job ended, if the job is present.
+    /// @param state End state reported by the entry that had the job.
+    void set_end_state(job_id id, job_state state);
 
-    /// @param id A job.
-    /// @return What is known of its cancelling, or null.
+    /// @return The cached entry of a job, or null.
     const cached_cancel* find(job_id id) const;
 
-    /// @param now The time: what is older than is kept goes.
+    /// Removes jobs whose retention has expired.
     void expire(instant now);
 
-    /// @return All, the oldest first.
+    /// @return All cached jobs, the oldest first.
     std::vector<std::pair<job_id, cached_cancel>> all() const;
 
-    /// @return Jobs.
+    /// @return Number of cached jobs.
     std::size_t size() const { return known_.size(); }
 
-    /// @return Jobs forgotten before their time, for want of room.
+    /// @return Number of jobs evicted because the cache was full.
     std::uint64_t evictions() const { return evictions_; }
 
 private:
     void evict_oldest();
 
-    cancel_cache_settings settings_;                  ///< Bounds.
-    std::unordered_map<job_id, cached_cancel> known_; ///< By job.
-    std::deque<job_id> order_;                        ///< As they were noted.
-    std::uint64_t evictions_ = 0; ///< Forgotten before their time.
+    cancel_cache_settings settings_;
+    std::unordered_map<job_id, cached_cancel> known_; ///< Cached jobs by id.
+    std::deque<job_id> order_; ///< Ids in insertion order.
+    std::uint64_t evictions_ = 0;
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/durable_cancels.cpp
+++ b/src/glenhollow/durable/durable_cancels.cpp
@@ -1,4 +1,4 @@
-// Submitting and cancelling jobs at an entry, and the metrics of cancels.
+// Submission and cancellation of jobs at an entry, and the cancel metrics.
 #include "glenhollow/durable/durable_service.hpp"
 
 namespace glenhollow
@@ -79,10 +79,11 @@
 
 std::vector<cancel_record> durable_service::cancelled_jobs()
 {
-    return cancellation_.remembered();
+    return cancellation_.cancel_records();
 }
 
-/// What is known of the job itself tells more than that it was cancelled.
+/// A job that is still known here replies with its own state, which is more
+/// precise than a cached cancel.
 std::optional<job_state> durable_service::end_of_cancelled(job_id id)
 {
     if (memory_.knows(id))
@@ -107,7 +108,8 @@
     for (std::size_t i = 0; i < stats.outcomes.size(); ++i)
     {
         const auto outcome = static_cast<cancel_outcome>(i);
-        count("cancels_total", "Cancels answered", stats.outcomes[i],
+        count("cancels_total", "Cancels answered, by outcome",
+              stats.outcomes[i],
               "outcome=\"" + std::string(to_name(outcome)) + "\"");
     }
     const auto& bounds = memory_cancellation_stats::reply_time_bounds_ms;
@@ -115,29 +117,30 @@
     {
         const auto up_to =
             i < bounds.size() ? std::to_string(bounds[i]) : "more";
-        count("cancels_by_age_total", "Cancels answered within so many ms",
+        count("cancels_by_age_total", "Cancels answered, by reply time in ms",
               stats.reply_times[i], "up_to_ms=\"" + up_to + "\"");
     }
-    count("cancels_told_total", "Cancels told to other entries",
-          stats.on_reply);
-    count("cancels_untold_total", "Of these, lost and told again",
+    count("cancels_told_total", "Cancels sent to other entries", stats.sent);
+    count("cancels_untold_total",
+          "Cancels to other entries that were lost and sent again",
           stats.unacknowledged);
-    count("cancels_passed_on_total", "Cancels told by way of another entry",
+    count("cancels_passed_on_total", "Cancels relayed through another entry",
           stats.relayed);
-    count("cancels_heard_total", "Cancels that other entries told",
-          stats.heard);
-    count("cancels_learned_total", "Cancels from before this process",
-          stats.fetched);
-    count("cancels_silent_entries_total", "Entries waited for in vain",
-          stats.timed_out);
-    count("cancelled_jobs_ran_on_total", "Found after their cancel's answer",
-          stats.ran_after_reply);
-    count("cancelled_jobs_not_run_total", "Submissions of cancelled jobs",
-          stats.rejected);
-    count("cancels_crowded_out_total", "Forgotten early, for want of room",
-          cancellation_.memory().evictions());
-    page.gauge("cancels_remembered", "Cancelled jobs in memory remembered",
-               static_cast<double>(cancellation_.memory().size()));
+    count("cancels_heard_total", "Cancels received from other entries",
+          stats.received);
+    count("cancels_learned_total",
+          "Cancels fetched from other entries after the start", stats.fetched);
+    count("cancels_silent_entries_total",
+          "Entries that did not answer a cancel in time", stats.timed_out);
+    count("cancelled_jobs_ran_on_total",
+          "Jobs found after their cancel was answered", stats.ran_after_reply);
+    count("cancelled_jobs_not_run_total",
+          "Submissions of cancelled jobs that were rejected", stats.rejected);
+    count("cancels_crowded_out_total",
+          "Cached cancels evicted before their retention expired",
+          cancellation_.cache().evictions());
+    page.gauge("cancels_remembered", "Cancelled in-memory jobs in the cache",
+               static_cast<double>(cancellation_.cache().size()));
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/durable_job.cpp
+++ b/src/glenhollow/durable/durable_job.cpp
@@ -47,7 +47,7 @@
 
 void resources::add(const resources& other)
 {
-    // Sums that wrapped would look like room.
+    // Saturates: a sum that wraps around would look like free capacity.
     const auto sum = [](std::uint32_t a, std::uint32_t b)
     { return b > ~a ? ~std::uint32_t{0} : a + b; };
     cpu = sum(cpu, other.cpu);
--- a/src/glenhollow/durable/durable_job.hpp
+++ b/src/glenhollow/durable/durable_job.hpp
@@ -15,24 +15,24 @@
 namespace glenhollow
 {
 
-/// Id of a durable job, chosen by its caller.
+/// Identifies a durable job; chosen by its caller.
 using job_id = std::uint64_t;
 
-/// Number of a part of the journal, from 0.
+/// Identifies one part (partition) of the journal, counted from 0.
 using part_number = std::uint16_t;
 
-/// Stands for the jobs that an entry keeps in memory alone.
+/// Marks the jobs that an entry keeps in memory only, outside the journal.
 inline constexpr part_number memory_part = 0xFFFF;
 
-/// Runs of jobs in memory have numbers above this one, runs of jobs in the
-/// journal below it.
+/// Runs of in-memory jobs are numbered above this value, runs of journalled
+/// jobs below it.
 inline constexpr std::uint32_t first_memory_run = 1U << 30U;
 
-/// How long a job must last.
+/// Which failures a job survives.
 enum class durability : std::uint8_t
 {
-    journalled, ///< Kept, whatever fails; its caller asks for its state.
-    in_memory   ///< As long as its entry; its caller waits for its end.
+    journalled, ///< Survives the loss of its entry; callers poll it.
+    in_memory   ///< Lost with its entry; the caller waits for it.
 };
 
 template <>
@@ -42,116 +42,117 @@
                                                            "in_memory"};
 };
 
-/// @param id A job.
-/// @return Its 16 hexadecimal digits.
+/// Formats a job id as 16 hexadecimal digits.
 std::string to_text(job_id id);
 
-/// @param text 16 hexadecimal digits.
-/// @return The id, or nothing.
+/// Parses a job id.
+/// @param text Must be exactly 16 hexadecimal digits.
+/// @return The id, or nothing if the text is malformed.
 std::optional<job_id> job_id_from(std::string_view text);
 
-/// @param id A job.
-/// @param parts Parts of the journal; the same in all processes.
-/// @return The part that keeps the job.
+/// Maps a job to the part of the journal that stores it.
+/// @param id The job.
+/// @param parts Number of parts; must be the same in all processes.
 part_number part_of(job_id id, std::size_t parts);
 
-/// What a task takes of its runner while it runs.
+/// Resources of a backend server: its capacity, or what a task uses.
 struct resources
 {
-    std::uint32_t cpu = 0;    ///< Thousandths of a core.
+    std::uint32_t cpu = 0;    ///< Millicores.
     std::uint32_t memory = 0; ///< MiB.
-    std::uint32_t gpu = 0;    ///< Whole accelerators.
+    std::uint32_t gpu = 0;    ///< Number of accelerators.
 
-    /// @param other Added to this.
+    /// Adds, saturating at the largest value.
     void add(const resources& other);
 
-    /// @param other Taken off this, never below 0.
+    /// Subtracts, saturating at 0.
     void subtract(const resources& other);
 
-    /// @param more What would come on top of this.
-    /// @param capacity What there is.
-    /// @return Whether both together stay within the capacity.
+    /// Checks whether a further request fits next to these used resources.
+    /// @param more Additional request.
+    /// @param capacity Total capacity.
+    /// @return Whether the sum stays within the capacity.
     bool can_fit(const resources& more, const resources& capacity) const;
 };
 
-/// Names one task of a durable job.
+/// Identifies one task of a durable job.
 struct task_ref
 {
-    job_id job = 0;               ///< The job.
-    std::uint32_t occurrence = 0; ///< Of a repeated job, from 0.
-    std::uint32_t step = 0;       ///< Of the job, from 0.
-    std::uint32_t index = 0;      ///< Within the step, from 0.
+    job_id job = 0;
+    std::uint32_t occurrence = 0; ///< Repetition of the job, from 0.
+    std::uint32_t step = 0;       ///< Step of the job, from 0.
+    std::uint32_t index = 0;      ///< Task within the step, from 0.
 
     bool operator==(const task_ref&) const = default;
 };
 
-/// Names one run of a task.
+/// Identifies one run (execution attempt) of a task.
 struct run_ref
 {
-    task_ref task;         ///< The task.
-    std::uint32_t run = 0; ///< Its start's number, rising.
+    task_ref task;
+    std::uint32_t run = 0; ///< Increases with each start of the task.
 
     bool operator==(const run_ref&) const = default;
 
-    /// @return Whether its job is kept in memory alone.
+    /// @return Whether the run belongs to an in-memory job.
     bool in_memory() const { return run > first_memory_run; }
 };
 
-/// Hashes run names.
+/// Hashes a run_ref.
 struct run_ref_hash
 {
-    /// @param ref A run.
-    /// @return Its hash.
+    /// @return The hash of a run_ref.
     std::size_t operator()(const run_ref& ref) const;
 };
 
-/// One step of a job: tasks that are alike.
+/// One step of a job: a number of identical tasks.
 struct job_step
 {
-    std::uint32_t count = 1;          ///< Tasks.
-    resources needs;                  ///< Of each task.
-    std::uint32_t estimate_ms = 0;    ///< A rough guess of a task's time.
-    std::string label;                ///< The runner must have it, if given.
-    std::string preferred_label;      ///< Other runners are slower at it,
-                                      ///< for its data lies here.
-    std::vector<std::uint32_t> after; ///< Steps that must be done first.
+    std::uint32_t count = 1;       ///< Number of tasks.
+    resources needs;               ///< Resources that each task uses.
+    std::uint32_t estimate_ms = 0; ///< Expected run time of a task.
+    std::string label;             ///< Label that the backend server must have;
+                                   ///< empty: any.
+    std::string preferred_label;   ///< Label of backend servers close to the
+                                   ///< task's data; empty: none.
+    std::vector<std::uint32_t> after; ///< Steps that must complete first.
 };
 
-/// A durable job as its caller gave it, with what its queue said then.
+/// A durable job as submitted, with the limits that its queue had then.
 struct job_definition
 {
     job_id id = 0;                  ///< Chosen by the caller.
-    std::string queue;              ///< Name of its queue.
-    std::string service;            ///< Whose runners run it.
-    std::string spec;               ///< Handed to each task.
-    std::vector<job_step> steps;    ///< At least one.
-    std::uint32_t priority = 0;     ///< 0 goes first.
-    std::uint32_t max_attempts = 1; ///< Runs of a task that may fail.
-    std::int64_t accepted_ms = 0;   ///< Wall time, ms since 1970.
-    std::int64_t objective_ms = 0;  ///< Wall time by which it should end.
-    std::int64_t expiry_ms = 0;     ///< Wall time after which an answer is
-                                    ///< worth nothing; 0: never.
-    durability durability_class =
-        durability::journalled; ///< How long it must last.
-
-    /// @return All tasks of all steps.
+    std::string queue;              ///< Queue name.
+    std::string service;            ///< Service whose backend servers run it.
+    std::string spec;               ///< Passed to each task.
+    std::vector<job_step> steps;    ///< At least one step.
+    std::uint32_t priority = 0;     ///< 0 is the most urgent.
+    std::uint32_t max_attempts = 1; ///< Failed runs of one task that fail
+                                    ///< the job.
+    std::int64_t accepted_ms = 0;   ///< Acceptance time, Unix ms.
+    std::int64_t objective_ms = 0;  ///< Target completion time, Unix ms.
+    std::int64_t expiry_ms = 0;     ///< Unix ms after which an in-memory job
+                                    ///< is abandoned; 0: never.
+    durability durability_class = durability::journalled;
+
+    /// @return Number of tasks of all steps.
     std::size_t task_count() const;
 
-    /// @return The longest chain of its steps by their estimates, ms.
+    /// @return Critical path through the steps by their estimates, ms.
     std::uint64_t critical_path_ms() const;
 
-    /// @return Cores that its widest step takes at once.
+    /// @return Cores of the step that uses the most when all its tasks run.
     double peak_cores() const;
 };
 
-/// Where a job stands.
+/// Lifecycle state of a job.
 enum class job_state : std::uint8_t
 {
-    queued,    ///< No task has begun.
-    running,   ///< A task has begun.
-    succeeded, ///< Every task has ended well.
-    failed,    ///< A task used up its attempts.
-    cancelled  ///< By its caller.
+    queued,    ///< No task has started.
+    running,   ///< At least one task has started.
+    succeeded, ///< All tasks have succeeded.
+    failed,    ///< A task has used up its attempts.
+    cancelled  ///< Cancelled by its caller.
 };
 
 template <>
@@ -161,8 +162,7 @@
         "queued", "running", "succeeded", "failed", "cancelled"};
 };
 
-/// @param state A state.
-/// @return Whether the job will not change any more.
+/// @return Whether a job in this state can no longer change.
 inline bool is_final(job_state state)
 {
     return state >= job_state::succeeded;
@@ -171,13 +171,13 @@
 /// How a run ended.
 enum class run_outcome : std::uint8_t
 {
-    done,     ///< Well.
-    failed,   ///< Through its own fault or the runner's.
-    stopped,  ///< By an order.
-    lapsed,   ///< Its lease ran out.
-    broken,   ///< Another member of its group ended.
-    alone,    ///< It waited for its group in vain.
-    not_begun ///< It never began and will not.
+    done,            ///< Succeeded.
+    failed,          ///< The task or its backend server failed.
+    stopped,         ///< Stopped by an order.
+    lapsed,          ///< Its lease expired.
+    group_aborted,   ///< Another member of its group ended.
+    group_timed_out, ///< Its group did not become complete in time.
+    not_begun        ///< It has not started and will not start.
 };
 
 template <>
@@ -187,61 +187,61 @@
         "done", "failed", "stopped", "lapsed", "broken", "alone", "not_begun"};
 };
 
-/// One run's end as its agent tells it.
+/// The end of one run as reported by its agent.
 struct run_end
 {
-    run_ref run;                               ///< Which run.
-    run_outcome outcome = run_outcome::failed; ///< How it ended.
-    std::uint64_t number = 0;                  ///< At its runner; 0: none.
-    std::uint32_t duration_us = 0;             ///< From start to end.
-    bool claimed = true; ///< It ran under a lease of the entry that is told.
+    run_ref run;
+    run_outcome outcome = run_outcome::failed;
+    std::uint64_t number = 0;      ///< Sequence number at its backend server;
+                                   ///< 0: none.
+    std::uint32_t duration_us = 0; ///< Run time in microseconds.
+    /// Whether it ran under a lease of the entry that receives the report.
+    bool claimed = true;
 };
 
-/// A run that failed. Its number tells it from a repeated report of it.
+/// A failed run; the run number identifies repeated reports of it.
 struct failed_run
 {
-    std::uint32_t task = 0; ///< Flat index of the task in its job.
-    std::uint32_t run = 0;  ///< The run's number.
+    std::uint32_t task = 0; ///< Index of the task across all steps of its job.
+    std::uint32_t run = 0;  ///< Run number.
 
     bool operator==(const failed_run&) const = default;
 };
 
-/// What has been journalled of a job that has not ended.
+/// Journalled progress of a job that has not ended. Tasks are counted across
+/// all steps.
 struct job_progress
 {
-    std::vector<std::uint32_t> done; ///< Flat indices of tasks that are done.
-    std::vector<failed_run> failed;  ///< Attempts that are used up.
+    std::vector<std::uint32_t> done; ///< Indices of completed tasks.
+    std::vector<failed_run> failed;  ///< Failed attempts.
 };
 
-/// What is kept of a job that has ended.
+/// Journalled record of a job that has ended.
 struct ended_job
 {
-    job_state state = job_state::succeeded; ///< Final.
-    std::int64_t ended_ms = 0;              ///< Wall time, ms since 1970.
+    job_state state = job_state::succeeded; ///< A final state.
+    std::int64_t ended_ms = 0;              ///< Unix ms.
 };
 
-/// @param job A job.
-/// @return Its journal row.
+/// Encodes a job as a journal row.
 std::string encode_definition(const job_definition& job);
 
-/// @param row A journal row.
-/// @return The job, or what is wrong with the row.
+/// Decodes a journal row.
+/// @return The job, or a failure that names the defect of the row.
 result<job_definition> decode_definition(std::string_view row);
 
-/// @param progress What is known.
-/// @return Its journal row.
+/// Encodes progress as a journal row.
 std::string encode_progress(const job_progress& progress);
 
-/// @param row A journal row.
-/// @return What was known, or what is wrong with the row.
+/// Decodes a journal row.
+/// @return The progress, or a failure that names the defect of the row.
 result<job_progress> decode_progress(std::string_view row);
 
-/// @param end How a job ended.
-/// @return Its journal row.
+/// Encodes an ended job as a journal row.
 std::string encode_ended_job(const ended_job& end);
 
-/// @param row A journal row.
-/// @return How it ended, or what is wrong with the row.
+/// Decodes a journal row.
+/// @return The ended job, or a failure that names the defect of the row.
 result<ended_job> decode_ended_job(std::string_view row);
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/durable_jobs.hpp
+++ b/src/glenhollow/durable/durable_jobs.hpp
@@ -10,33 +10,33 @@
 namespace glenhollow
 {
 
-/// What callers can ask of an entry about durable jobs. The adapter of the
-/// callers' side speaks to this; so do tests.
+/// Interface to the durable jobs of an entry, used by the HTTP adapter and
+/// by tests.
 class durable_jobs
 {
 public:
     virtual ~durable_jobs() = default;
 
-    /// @return The newest queues; version 0 while there are none.
+    /// @return The newest queue catalog; version 0 until one is loaded.
     virtual const queue_catalog& catalog() const = 0;
 
-    /// @param job Of a queue of the catalog, with a checked form.
-    /// @param done Told the end: of a journalled job that it is kept, of one
-    /// in memory how it ended.
-    /// @return Withdraws a job in memory; empty for a journalled one.
+    /// Submits a job.
+    /// @param job A validated job of a queue in the catalog.
+    /// @param done Called once a journalled job is durable, or once an
+    /// in-memory job has ended.
+    /// @return Withdraws an in-memory job; empty for a journalled one.
     virtual std::function<void()> submit(const job_definition& job,
                                          job_reply_handler done) = 0;
 
-    /// @param id A job.
-    /// @param done Told the end.
+    /// Cancels a job.
+    /// @param done Called with the result.
     virtual void cancel(job_id id, job_reply_handler done) = 0;
 
-    /// @param id A job.
-    /// @param done Told its state.
+    /// Queries the state of a job.
+    /// @param done Called with the result.
     virtual void state(job_id id, job_reply_handler done) = 0;
 
-    /// @param queue A queue.
-    /// @return Its accepted jobs of which no task has begun.
+    /// @return Number of accepted jobs of a queue that have not started.
     virtual std::uint32_t pending(const std::string& queue) const = 0;
 };
 
--- a/src/glenhollow/durable/job_coordinator.cpp
+++ b/src/glenhollow/durable/job_coordinator.cpp
@@ -14,10 +14,10 @@
 namespace
 {
 
-/// Run numbers of one owner lie within this many.
+/// Size of the range of run numbers that each epoch uses.
 constexpr std::uint32_t runs_per_epoch = 4096;
 
-/// When to come back where nothing better is known.
+/// Retry-after time without a better estimate.
 constexpr duration default_retry_after = seconds{1};
 
 constexpr std::int64_t millisecond = 1'000'000;
@@ -113,8 +113,8 @@
                    milliseconds{static_cast<std::int64_t>(wait)}};
 }
 
-/// Agents attach within a tenth of a second of a start. Who is refused
-/// meanwhile could have been served in time.
+/// Agents attach shortly after the start of the entry. Until then jobs wait
+/// instead of being refused.
 bool job_coordinator::warming_up() const
 {
     return !chain_ && dependencies_.clock.now() - claimed_ < settings_.warm_up;
@@ -181,23 +181,24 @@
     record.job = job;
     record.tasks.resize(job.task_count());
     record.accepted = true;
-    record.give_up = dependencies_.clock.now() +
-                     milliseconds{job.expiry_ms - job.accepted_ms};
+    record.expires_at = dependencies_.clock.now() +
+                        milliseconds{job.expiry_ms - job.accepted_ms};
     record.end_waiters.push_back(std::move(done));
-    record.begin_by = record.next_review_at = latest_start(record);
+    record.start_deadline = record.next_review_at = latest_start(record);
     reviews_.emplace(record.next_review_at, job.id);
     arm_review_timer();
     enqueue_ready_tasks(jobs_.emplace(job.id, std::move(record)).first->second);
 }
 
-/// Begun any later a job could not end before its caller gives up. One that is
-/// late anyway is worth little, and the sooner its caller knows that it was
-/// not run the more it can do about it: at once for one that came early, since
-/// all start at once and those who can still be in time need the room.
+/// A job that starts after this time can't end before its expiry. A job that
+/// will miss its objective anyway is abandoned earlier, after `begin_by` of its
+/// time, so that its caller can retry elsewhere. One that was accepted during
+/// warm-up is abandoned as soon as it is late, to leave room for jobs that can
+/// still be on time.
 instant job_coordinator::latest_start(const job_record& record) const
 {
     const auto& job = record.job;
-    const auto chain = milliseconds{job.critical_path_ms()};
+    const auto critical_path = milliseconds{job.critical_path_ms()};
     const auto time_to_expiry = milliseconds{job.expiry_ms - job.accepted_ms};
     const auto time_to_objective =
         milliseconds{job.objective_ms - job.accepted_ms};
@@ -205,8 +206,8 @@
                                     : std::chrono::duration_cast<duration>(
                                           time_to_expiry * settings_.begin_by);
     const auto latest = std::min<duration>(
-        time_to_expiry - chain,
-        std::max<duration>(share, time_to_objective - chain));
+        time_to_expiry - critical_path,
+        std::max<duration>(share, time_to_objective - critical_path));
     return dependencies_.clock.now() + latest;
 }
 
@@ -226,10 +227,10 @@
     while (!reviews_.empty() && reviews_.begin()->first <= now)
     {
         auto& record = jobs_.at(reviews_.begin()->second);
-        if (record.give_up <= now || !may_have_run(record))
+        if (record.expires_at <= now || !may_have_run(record))
             give_up(record);
         else
-            reschedule_review(record, record.give_up);
+            reschedule_review(record, record.expires_at);
     }
 }
 
@@ -241,8 +242,8 @@
     arm_review_timer();
 }
 
-/// Callers are told at the moment itself: a tick later more of the time in
-/// which they could try elsewhere has gone by.
+/// Reviews run on a timer rather than on the next tick, so that callers get
+/// their reply without delay.
 void job_coordinator::arm_review_timer()
 {
     if (reviews_.empty())
@@ -263,8 +264,8 @@
                         });
 }
 
-/// An order that its agent has sent back as not begun has not run; one that is
-/// out, or was lost with its agent, may have.
+/// An order that an agent has returned as not begun has not run. An order that
+/// is still placed, or whose agent was lost, may have run.
 bool job_coordinator::may_have_run(const job_record& record)
 {
     return record.started || !record.lost_orders.empty() ||
@@ -279,9 +280,8 @@
         give_up(jobs_.at(reviews_.begin()->second));
 }
 
-/// Its end would be worth nothing any more. Where surely no task has begun the
-/// job was not run; else nothing is said of how it ended, for it has not failed
-/// by itself.
+/// Abandons a job whose result is no longer of use. The reply says `refused` if
+/// no task has started, and `unknown` otherwise because the job has not failed.
 void job_coordinator::give_up(job_record& record)
 {
     ++stats_.given_up;
@@ -300,13 +300,13 @@
          {"tasks_placed", placed},
          {"tasks", record.tasks.size()},
          {"begun", record.started},
-         {"waited_ms",
-          to_ms(dependencies_.clock.now() - (record.give_up - time_to_expiry))},
+         {"waited_ms", to_ms(dependencies_.clock.now() -
+                             (record.expires_at - time_to_expiry))},
          {"verdict", may_have_run(record) ? "may_have_run" : "not_run"}});
     drop(record);
 }
 
-/// Ends a job in memory that has no end of its own to tell.
+/// Ends an in-memory job without a final state.
 void job_coordinator::drop(job_record& record)
 {
     const auto id = record.job.id;
@@ -319,14 +319,14 @@
         waiter({outcome, job_state::queued, seconds{1}});
 }
 
-/// Its time goes with it: the same id may come again.
+/// Also removes the review of the job, since its id may be submitted again.
 void job_coordinator::erase(job_map::iterator job)
 {
     reviews_.erase({job->second.next_review_at, job->first});
     jobs_.erase(job);
 }
 
-/// Jobs in memory have nothing to write: it is done at once.
+/// Appends to the journal. Writes of in-memory jobs complete immediately.
 void job_coordinator::write(journal_entry entry)
 {
     if (chain_)
@@ -374,7 +374,7 @@
         waiter(reply);
 }
 
-/// @return Which steps have all their tasks done.
+/// @return One flag per step: whether all its tasks are done.
 std::vector<bool> job_coordinator::steps_done(const job_record& record)
 {
     std::vector<bool> done;
@@ -444,12 +444,12 @@
     auto& placed = record.tasks[task_index];
     if (placed.phase != task_phase::ready)
         return std::nullopt;
-    const std::uint32_t least = first_run();
-    if (!chain_ && dependencies_.clock.now() >= record.give_up)
+    const std::uint32_t first_number = first_run();
+    if (!chain_ && dependencies_.clock.now() >= record.expires_at)
         return std::nullopt;
-    if (placed.run > least)
+    if (placed.run > first_number)
         ++stats_.restarted;
-    placed.run = std::max(placed.run, least) + 1;
+    placed.run = std::max(placed.run, first_number) + 1;
     placed.phase = task_phase::placed;
     placed.agent = agent;
     return order_of(record, task_index, {task.task, placed.run});
@@ -469,7 +469,7 @@
     order.estimate_ms = step.estimate_ms;
     if (!chain_)
         order.useful_ms = static_cast<std::uint32_t>(std::max<std::int64_t>(
-            1, to_ms(record.give_up - dependencies_.clock.now())));
+            1, to_ms(record.expires_at - dependencies_.clock.now())));
     return order;
 }
 
@@ -499,8 +499,8 @@
     auto& record = known->second;
     if (record.pending_end_state || !record.started)
         return reply_state(record, std::move(done));
-    // Callers ask when they believe that it ends: the end is near, if it is
-    // not on its way here already.
+    // Callers poll when they expect the job to end, so that a short delay
+    // often allows a reply with the final state.
     dependencies_.later(settings_.state_query_delay,
                         [this, alive = alive_, id, done = std::move(done)]
                         {
@@ -561,13 +561,13 @@
 
 void job_coordinator::expire_ended_jobs()
 {
-    constexpr std::size_t most = 40;
+    constexpr std::size_t max_removes = 40;
     const auto limit =
         dependencies_.wall_ms() - to_ms(settings_.ended_retention);
     journal_entry entry;
     entry.urgency = journal_urgency::gathered;
     while (!ended_order_.empty() && ended_order_.front().first < limit &&
-           entry.removes.size() < most)
+           entry.removes.size() < max_removes)
     {
         const auto id = ended_order_.front().second;
         ended_order_.pop_front();
--- a/src/glenhollow/durable/job_coordinator.hpp
+++ b/src/glenhollow/durable/job_coordinator.hpp
@@ -23,14 +23,14 @@
 namespace glenhollow
 {
 
-/// How a call for a job ended.
+/// Outcome of a call for a job.
 enum class job_outcome : std::uint8_t
 {
-    done,      ///< As asked; the state is that of the job.
-    missing,   ///< There is no such job.
-    refused,   ///< Not taken and will never run; come back later.
-    not_owner, ///< Another entry has the part; nothing was done.
-    unknown    ///< It may have been done.
+    done,      ///< The call succeeded; the reply has the job's state.
+    missing,   ///< The job does not exist.
+    refused,   ///< The job was not accepted and will not run; retry later.
+    not_owner, ///< Another entry owns the part; nothing was done.
+    unknown    ///< The call may have taken effect.
 };
 
 template <>
@@ -40,48 +40,48 @@
         "done", "missing", "refused", "not_owner", "unknown"};
 };
 
-/// The answer to a call for a job.
+/// Reply to a call for a job.
 struct job_reply
 {
-    job_outcome outcome = job_outcome::unknown; ///< What happened.
-    job_state state = job_state::queued;        ///< Of the job, when done.
-    duration retry_after{};                     ///< When refused.
+    job_outcome outcome = job_outcome::unknown;
+    job_state state = job_state::queued; ///< State of the job, if done.
+    duration retry_after{};              ///< Time until a retry, if refused.
 };
 
-/// Told the answer to a call for a job.
+/// Receives the reply to a call for a job.
 using job_reply_handler = std::function<void(const job_reply&)>;
 
-/// Limits of a part's jobs.
+/// Settings of a job_coordinator.
 struct job_coordinator_settings
 {
-    std::string entry;                           ///< Name of this entry.
-    std::size_t parts = 3;                       ///< Of the journal.
-    duration ended_retention = seconds{130};     ///< Ended jobs are remembered.
-    duration agent_timeout = milliseconds{3400}; ///< Until a silent agent's
-                                                 ///< runs have surely ended.
-    duration state_query_delay =
-        milliseconds{25};   ///< A question about a job that
-                            ///< has begun waits so long.
-    double begin_by = 0.45; ///< Share of its caller's patience by which a job
-                            ///< in memory that will be late must have begun,
-                            ///< or its caller is told to come back.
-    double max_wait_share = 2.2; ///< Refuse when the wait alone takes
-                                 ///< this share of the objective.
-    duration warm_up{}; ///< So long after its start a process may not know yet
-                        ///< of backend servers that live on: jobs in memory
-                        ///< wait for them instead of being refused.
-    journal_chain_settings chain; ///< Limits of the journal.
+    std::string entry;     ///< Name of this entry.
+    std::size_t parts = 3; ///< Number of parts of the journal.
+    duration ended_retention = seconds{130}; ///< Retention of ended jobs.
+    /// Time after which all runs of a silent agent have ended.
+    duration agent_timeout = milliseconds{3400};
+    /// Delay of the reply to a state query for a running job.
+    duration state_query_delay = milliseconds{25};
+    double begin_by = 0.45; ///< Share of the time until expiry by which an
+                            ///< in-memory job that will miss its objective must
+                            ///< have started; otherwise it is refused.
+    double max_wait_share = 2.2; ///< Jobs are refused if the queueing
+                                 ///< time exceeds this multiple of the time
+                                 ///< until their objective.
+    duration warm_up{}; ///< Time after the start of the process in which
+                        ///< in-memory jobs wait for backend servers to become
+                        ///< known instead of being refused.
+    journal_chain_settings chain; ///< Settings of the journal.
 };
 
-/// A job in memory that is sent again soon after its end is not run anew.
+/// Retention of ended in-memory jobs: a job that is resubmitted within this
+/// time is not run again.
 inline constexpr duration memory_ended_retention = seconds{10};
 
-/// An agent's lease for jobs in memory, its time to notice, the longest hold
-/// of its runner and some slack.
+/// Time after which no run of an in-memory job is left at a silent agent: the
+/// lease, the agent's reaction time and the longest hold of its backend server.
 inline constexpr duration memory_agent_timeout = milliseconds{2000};
 
-/// @param settings Limits of jobs.
-/// @return The same for jobs in memory.
+/// @return The settings with the retention and timeout of in-memory jobs.
 inline job_coordinator_settings
 memory_job_settings(job_coordinator_settings settings)
 {
@@ -90,199 +90,208 @@
     return settings;
 }
 
-/// Counters of a part's jobs.
+/// Counters of a job_coordinator.
 struct job_coordinator_stats
 {
-    std::uint64_t accepted = 0;       ///< Jobs taken.
-    std::uint64_t repeated = 0;       ///< Submissions of a known job.
-    std::uint64_t refused = 0;        ///< Jobs not taken.
-    std::uint64_t succeeded = 0;      ///< Jobs ended well.
-    std::uint64_t failed = 0;         ///< Jobs that used up an attempt limit.
-    std::uint64_t cancelled = 0;      ///< Jobs cancelled.
-    std::uint64_t restarted = 0;      ///< Tasks placed again.
-    std::uint64_t late = 0;           ///< Jobs ended after their objective.
-    std::uint64_t given_up = 0;       ///< Jobs in memory past any worth.
-    std::uint64_t early = 0;          ///< Jobs taken before a backend server
-                                      ///< was known.
-    std::uint64_t withdrawn = 0;      ///< Jobs in memory whose caller left.
-    std::uint64_t orders_lost = 0;    ///< Out when their agent was lost.
-    std::uint64_t orders_settled = 0; ///< Of these, surely not begun.
+    std::uint64_t accepted = 0;  ///< Accepted jobs.
+    std::uint64_t repeated = 0;  ///< Repeated submissions of a known job.
+    std::uint64_t refused = 0;   ///< Jobs that were not accepted.
+    std::uint64_t succeeded = 0; ///< Jobs that succeeded.
+    std::uint64_t failed = 0;    ///< Jobs of which a task used up its attempts.
+    std::uint64_t cancelled = 0; ///< Cancelled jobs.
+    std::uint64_t restarted = 0; ///< Tasks that were started again.
+    std::uint64_t late = 0;      ///< Jobs that ended after their objective.
+    std::uint64_t given_up = 0;  ///< Abandoned in-memory jobs.
+    std::uint64_t early = 0;     ///< Jobs accepted before a backend server
+                                 ///< was known.
+    std::uint64_t withdrawn = 0; ///< Jobs whose caller disconnected.
+    std::uint64_t orders_lost = 0; ///< Orders to agents that were lost.
+    /// Lost orders that did not start.
+    std::uint64_t orders_settled = 0;
 };
 
-/// The jobs of one part at its owner, or those that an entry keeps in memory
-/// alone: accepts, journals, hands out tasks, takes their ends, answers for
-/// their state. One thread.
+/// Manages the jobs of one part of the journal at its owner, or the in-memory
+/// jobs of an entry: accepts and journals jobs, queues their tasks, processes
+/// the ends of runs and answers state queries. Not thread-safe.
 class job_coordinator final
 {
 public:
     using wall_clock = std::function<std::int64_t()>;
 
-    /// What a part needs of its entry; all outlive the part.
+    /// Services of the entry; all must outlive the coordinator.
     struct dependencies
     {
-        const clock_source& clock;   ///< This entry's.
-        wall_clock wall_ms;          ///< Ms since 1970.
-        row_store& store;            ///< Where rows lie.
-        dispatcher& task_dispatcher; ///< Places tasks.
-        journal_chain::delay later;  ///< Runs delayed work.
+        const clock_source& clock;   ///< Monotonic clock.
+        wall_clock wall_ms;          ///< Wall clock, Unix ms.
+        row_store& store;            ///< Stores the journal.
+        dispatcher& task_dispatcher; ///< Places tasks at agents.
+        journal_chain::delay later;  ///< Runs a function after a delay.
     };
 
-    /// @param around What it needs.
-    /// @param part Which part.
-    /// @param head The claim as it was written.
-    /// @param loaded What the journal holds.
-    /// @param awaited Agents that may run something of it.
-    /// @param settings Limits.
-    /// @param on_lost Told when another entry has taken the part.
+    /// Creates the coordinator of a part of the journal.
+    /// @param part The part that this entry has claimed.
+    /// @param head Head of the journal as written by the claim.
+    /// @param loaded Contents of the journal.
+    /// @param unreported_agents Agents that may run tasks of the part. Loaded
+    /// jobs are not started until all of them have reported or timed out.
+    /// @param on_lost Called when another entry has taken the part.
     job_coordinator(dependencies dependencies, part_number part,
                     const chain_head& head, loaded_part loaded,
                     std::set<std::string> unreported_agents,
                     const job_coordinator_settings& settings,
                     std::function<void()> on_lost);
 
-    /// For jobs in memory.
-    /// @param around What it needs.
-    /// @param settings Limits.
+    /// Creates the coordinator of in-memory jobs.
     job_coordinator(dependencies dependencies,
                     const job_coordinator_settings& settings);
     ~job_coordinator();
 
-    /// @return The part and the epoch of this ownership.
+    /// @return The part and the epoch in which it is owned.
     part_epoch epoch() const { return {part_, epoch_}; }
 
-    /// @param job Checked. Accepted once it is in the journal; one in memory
-    /// at once, and its end is its answer.
-    /// @param done Told the end.
+    /// Submits a job. A journalled job is accepted once its row is durable, an
+    /// in-memory job immediately.
+    /// @param job A validated job.
+    /// @param done Called when a journalled job is accepted or an in-memory
+    /// job has ended, or if the job is refused.
     void submit(const job_definition& job, job_reply_handler done);
 
-    /// @param id A job to cancel.
-    /// @param done Told the end.
+    /// Cancels a job.
+    /// @param done Called when the job has ended.
     void cancel(job_id id, job_reply_handler done);
 
-    /// @param id A job.
-    /// @param done Told its state.
+    /// Queries the state of a job.
+    /// @param done Called with the result.
     void state(job_id id, job_reply_handler done);
 
+    /// Reconciles the placed tasks with the report of an agent.
     /// @param agent An agent that has adopted the part.
-    /// @param account What it knows of the part.
+    /// @param account Runs and ends of the part that the agent lists.
     void reconcile_agent(const std::string& agent,
                          const lease_account& account);
 
-    /// @param agent Nothing that was started there runs any more.
+    /// Requeues the tasks placed at a lost agent.
+    /// @param agent An agent that no longer runs anything that this
+    /// coordinator has started.
     void on_agent_lost(const std::string& agent);
 
-    /// @param agent Where a run ended.
-    /// @param end How.
+    /// Processes the end of a run.
+    /// @param agent Agent that reports the end.
     void ended(const std::string& agent, const run_end& end);
 
-    /// @param run Has begun.
+    /// Records that a run has started.
     void began(const run_ref& run);
 
-    /// @param task A place was found for it.
-    /// @param agent Where.
-    /// @return The order, or nothing when it need not run any more.
+    /// Assigns a queued task to an agent.
+    /// @return The order to start it, or nothing if it need not run any more.
     std::optional<run_order> assign(const ready_task& task,
                                     const std::string& agent);
 
-    /// Does what is due: forgets old ends, stops waiting for agents.
+    /// Runs periodic work: removes old ended jobs, stops waiting for silent
+    /// agents and abandons expired in-memory jobs.
     void tick();
 
-    /// @param id A job in memory whose caller has gone.
+    /// Abandons an in-memory job whose caller has disconnected.
     void withdraw(job_id id);
 
-    /// Makes the journal find out whether the part is still ours.
+    /// Verifies the ownership of the part by a write to the journal.
     void verify_ownership() { chain_->append({}); }
 
-    /// Takes no more new jobs.
+    /// Refuses new jobs from now on.
     void refuse_new() { refusing_ = true; }
 
-    /// Answers for all jobs in memory at once: the process ends.
+    /// Abandons all in-memory jobs and replies to their callers, at shutdown.
     void give_up_all();
 
-    /// Gives the part up.
+    /// Stops writing to the journal because the part is given up.
     void abandon();
 
-    /// @param id A job.
-    /// @return Whether it is open here, or its end is remembered.
+    /// @return Whether the job is open, or ended within the retention time.
     bool knows(job_id id) const
     {
         return jobs_.contains(id) || ended_.contains(id);
     }
 
-    /// @return Whether the journal has nothing to write.
+    /// @return Whether the journal has no pending writes.
     bool flushed() const { return chain_->idle(); }
 
-    /// @return Whether the store has failed the last write.
+    /// @return Whether the last write to the store failed.
     bool troubled() const { return chain_->troubled(); }
 
-    /// @return Jobs none of whose tasks has begun, by queue.
+    /// @return Number of jobs that have not started, by queue.
     std::map<std::string, std::uint32_t> pending() const;
 
-    /// @return Jobs that have not ended.
+    /// @return Number of jobs that have not ended.
     std::size_t open_jobs() const { return jobs_.size(); }
 
-    /// @return Counters.
+    /// @return Counters since construction.
     const job_coordinator_stats& stats() const { return stats_; }
 
-    /// @return Counters of the journal.
+    /// @return Counters of the journal; zero for in-memory jobs.
     journal_chain_stats journal_stats() const
     {
         return chain_ ? chain_->stats() : journal_chain_stats{};
     }
 
 private:
-    /// Where a task stands.
+    /// Lifecycle phase of a task.
     enum class task_phase : std::uint8_t
     {
-        blocked, ///< A step before it is not done, or an agent is awaited.
-        ready,   ///< Waits for a place.
-        placed,  ///< At an agent.
-        done     ///< Ended well.
+        blocked, ///< Waits for an earlier step or for agent reports.
+        ready,   ///< Queued for placement.
+        placed,  ///< An order has been sent to an agent.
+        done     ///< Succeeded.
     };
 
-    /// Why a job is not taken.
+    /// Reason for refusing a job.
     struct refusal
     {
-        reason cause = reason::none; ///< The cause.
-        duration wait{};             ///< When to come back.
+        reason cause = reason::none;
+        duration wait{}; ///< Time until a retry.
     };
 
-    /// One task.
+    /// State of one task.
     struct task_record
     {
-        task_phase phase = task_phase::blocked; ///< Where it stands.
-        std::uint32_t run = 0;                  ///< Latest run's number.
-        std::uint32_t failures = 0;             ///< Runs that failed.
-        std::string agent; ///< Where it is placed, or failed last.
+        task_phase phase = task_phase::blocked;
+        std::uint32_t run = 0;      ///< Number of the latest run.
+        std::uint32_t failures = 0; ///< Number of failed runs.
+        std::string agent; ///< Agent where it is placed, or failed last.
     };
 
-    /// An order that was out when its agent was lost.
+    /// An order whose agent was lost before it reported an end.
     struct lost_order
     {
-        run_ref run;       ///< Which run.
-        std::string agent; ///< Can still tell of it; empty: nobody can.
+        run_ref run;
+        /// Agent that may still report the run; empty: none.
+        std::string agent;
     };
 
-    /// One job that has not ended.
+    /// State of a job that has not ended.
     struct job_record
     {
-        job_definition job;                  ///< As accepted.
-        std::vector<task_record> tasks;      ///< Flat, step after step.
-        job_progress progress;               ///< As journalled or on its way.
-        std::size_t done = 0;                ///< Tasks that are done.
-        bool started = false;                ///< A task has begun.
-        std::vector<lost_order> lost_orders; ///< Nothing was heard of them.
-        bool early = false;                  ///< Came before a backend server
-                                             ///< was known.
-        bool accepted = false;               ///< Its row is durable.
-        bool accepted_here = true;           ///< Accepted by this owner.
-        instant give_up{};                   ///< Of one in memory.
-        instant begin_by{}; ///< It is given up then if it has surely not run.
-        instant next_review_at{}; ///< When it is looked at next.
-        std::optional<job_state> pending_end_state; ///< Its end is on its way.
-        std::vector<job_reply_handler>
-            acceptance_waiters;                     ///< Wait for its row.
-        std::vector<job_reply_handler> end_waiters; ///< Wait for its end.
+        job_definition job;
+        std::vector<task_record> tasks;      ///< Tasks of all steps, in order.
+        job_progress progress;               ///< Progress, including writes in
+                                             ///< flight.
+        std::size_t done = 0;                ///< Number of completed tasks.
+        bool started = false;                ///< Whether a task has started.
+        std::vector<lost_order> lost_orders; ///< Orders with an unknown fate.
+        bool early = false;                  ///< Whether it was accepted before
+                                             ///< a backend server was known.
+        bool accepted = false;               ///< Whether its row is durable.
+        bool accepted_here = true; ///< Whether this owner accepted it,
+                                   ///< as opposed to a previous owner.
+        instant expires_at{};      ///< Expiry of an in-memory job.
+        instant start_deadline{};  ///< Time at which it is abandoned unless
+                                   ///< it may have run.
+        instant next_review_at{};  ///< Time of its next review.
+        /// Final state that is being journalled.
+        std::optional<job_state> pending_end_state;
+        /// Called when its row is durable.
+        std::vector<job_reply_handler> acceptance_waiters;
+        /// Called when it has ended.
+        std::vector<job_reply_handler> end_waiters;
     };
 
     using job_map = std::unordered_map<job_id, job_record>;
@@ -340,22 +349,26 @@
     void expire_ended_jobs();
     row_key key(std::string_view table, job_id id) const;
 
-    dependencies dependencies_;                   ///< Of the entry.
-    part_number part_;                            ///< Which part.
-    std::uint32_t epoch_;                         ///< Of this ownership.
-    job_coordinator_settings settings_;           ///< Limits.
-    std::unique_ptr<journal_chain> chain_;        ///< Its journal.
-    job_map jobs_;                                ///< Not ended.
-    std::unordered_map<job_id, ended_job> ended_; ///< Ended.
-    std::deque<std::pair<std::int64_t, job_id>> ended_order_; ///< By time.
-    std::set<job_id> unreadable_;                  ///< See loaded_part.
-    std::set<std::pair<instant, job_id>> reviews_; ///< Open jobs in memory.
-    std::optional<instant> armed_review_;     ///< A timer will look at them.
-    std::set<std::string> unreported_agents_; ///< Agents not heard yet.
-    bool refusing_ = false;                   ///< Takes no more new jobs.
-    instant claimed_;                         ///< When the part was taken.
-    job_coordinator_stats stats_;             ///< Counters.
-    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true); ///< Guard.
+    dependencies dependencies_; ///< Services of the entry.
+    part_number part_;          ///< Part of the journal.
+    std::uint32_t epoch_;       ///< Epoch of this ownership.
+    job_coordinator_settings settings_;
+    /// Journal; null for in-memory jobs.
+    std::unique_ptr<journal_chain> chain_;
+    job_map jobs_;                                ///< Jobs that have not ended.
+    std::unordered_map<job_id, ended_job> ended_; ///< Ended jobs.
+    /// Sorted by end time.
+    std::deque<std::pair<std::int64_t, job_id>> ended_order_;
+    std::set<job_id> unreadable_; ///< Jobs with unreadable rows.
+    /// Times at which open in-memory jobs are checked.
+    std::set<std::pair<instant, job_id>> reviews_;
+    std::optional<instant> armed_review_; ///< Time of the pending review timer.
+    std::set<std::string> unreported_agents_; ///< See the constructor.
+    bool refusing_ = false;                   ///< Whether new jobs are refused.
+    instant claimed_;                         ///< Time of the claim.
+    job_coordinator_stats stats_;
+    /// Cleared on destruction, for pending callbacks.
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/job_coordinator_ends.cpp
+++ b/src/glenhollow/durable/job_coordinator_ends.cpp
@@ -1,4 +1,4 @@
-// What agents tell of runs, and how a job ends by it.
+// Processing of agent reports and run ends, and completion of jobs.
 #include "glenhollow/durable/job_coordinator.hpp"
 
 #include "glenhollow/telemetry/log.hpp"
@@ -20,7 +20,7 @@
         reconcile_listed_run(agent, run);
     for (const auto& end : account.ends)
     {
-        // Ends in memory that nobody has claimed may be another entry's.
+        // An unclaimed end of an in-memory job may belong to another entry.
         if (chain_ || end.claimed || jobs_.contains(end.run.task.job))
             ended(agent, end);
     }
@@ -33,7 +33,7 @@
 {
     const auto known = jobs_.find(run.run.task.job);
     if (known == jobs_.end() && !chain_ && !run.sized)
-        return; // It may be another entry's.
+        return; // The run may belong to another entry.
     if (known == jobs_.end() || known->second.pending_end_state)
         return dependencies_.task_dispatcher.stop(agent, run.run);
     auto& record = known->second;
@@ -61,7 +61,7 @@
             agent, order_of(record, task_index, run.run));
 }
 
-/// Orders that the agent never got, or lost with its process.
+/// Requeues tasks whose orders the agent never received, or lost in a restart.
 void job_coordinator::requeue_unlisted(const std::string& agent,
                                        const lease_account& account)
 {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Their tasks begin elsewhere now.
+/// Logs lost orders; their tasks are started elsewhere.
 void job_coordinator::log_lost_orders(const std::string& agent,
                                       std::string_view cause,
                                       std::uint64_t orders) const
@@ -100,7 +100,8 @@
                 {"cause", cause}});
 }
 
-/// It may have run, unless its agent can still tell.
+/// Requeues a task whose order was lost. For an in-memory job the order is
+/// kept: it may have run unless its agent reports otherwise.
 void job_coordinator::handle_lost_order(job_record& record,
                                         std::uint32_t task_index)
 {
@@ -112,8 +113,9 @@
     requeue_task(record, task_index);
 }
 
-/// What the same process of an agent does not know was not taken by it. Of what
-/// an ended one took nobody can tell any more.
+/// An agent process that has run without interruption did not receive the
+/// orders that it does not list. The fate of orders to an agent process that
+/// has ended stays unknown.
 void job_coordinator::resolve_lost_orders(job_record& record,
                                           const std::string& agent,
                                           const lease_account& account)
@@ -138,19 +140,20 @@
         on_order_not_begun(record, run);
 }
 
-/// Callers of jobs that have surely not run need not be held any longer.
+/// Replies early to callers of jobs that have certainly not run.
 void job_coordinator::on_order_not_begun(job_record& record, const run_ref& run)
 {
     stats_.orders_settled +=
         std::erase_if(record.lost_orders,
                       [&run](const lost_order& one) { return one.run == run; });
     if (!chain_ && !record.pending_end_state && !may_have_run(record))
-        reschedule_review(record, record.begin_by);
+        reschedule_review(record, record.start_deadline);
 }
 
-/// What this owner ordered there has ended. What the last one did may go on:
-/// its lease was renewed up to the claim, however long ago this entry heard of
-/// the agent, so that its account is awaited for the whole time from then on.
+/// All runs ordered by this owner have ended. Runs ordered by the previous
+/// owner may continue, because that owner renewed its leases until the claim.
+/// The agent therefore stays in `unreported_agents_` for the full timeout from
+/// the claim on.
 void job_coordinator::on_agent_lost(const std::string& agent)
 {
     const auto before = stats_.orders_lost;
@@ -347,7 +350,7 @@
     }
     else
     {
-        reply.outcome = job_outcome::not_owner; // The part is lost.
+        reply.outcome = job_outcome::not_owner;
     }
     for (const auto& waiter : waiters)
         waiter(reply);
--- a/src/glenhollow/durable/job_coordinator_load.cpp
+++ b/src/glenhollow/durable/job_coordinator_load.cpp
@@ -1,4 +1,4 @@
-// What an owner takes over from the journal.
+// Restores the jobs of a part from the journal.
 #include "glenhollow/durable/job_coordinator.hpp"
 
 #include <algorithm>
@@ -40,8 +40,8 @@
     unreadable_ = std::move(loaded.unreadable);
 }
 
-/// A job with a row that can't be read was accepted, and may have run: nobody
-/// says that there is no such job, and it is not run anew.
+/// A job with an unreadable row was accepted and may have run, so that it is
+/// not reported as missing.
 job_outcome job_coordinator::absent_outcome(job_id id) const
 {
     return unreadable_.contains(id) ? job_outcome::unknown
--- a/src/glenhollow/durable/job_router.cpp
+++ b/src/glenhollow/durable/job_router.cpp
@@ -7,16 +7,17 @@
 namespace glenhollow
 {
 
-/// One call under way.
+/// A call that has not finished.
 struct job_router::pending_call
 {
-    job_call call;                 ///< What is asked.
-    job_reply_handler done;        ///< Told the end.
-    instant started_at{};          ///< When it came.
-    std::uint64_t attempt = 0;     ///< Counts tries.
-    bool in_flight = false;        ///< A try is out.
-    bool possibly_applied = false; ///< A try may have taken effect.
-    bool ended = false;            ///< The end was told.
+    job_call call;
+    job_reply_handler done;        ///< Receives the result.
+    instant started_at{};          ///< Arrival time.
+    std::uint64_t attempt = 0;     ///< Number of the current attempt.
+    bool in_flight = false;        ///< Whether an attempt is unanswered.
+    bool possibly_applied = false; ///< Whether an attempt may have taken
+                                   ///< effect.
+    bool ended = false;            ///< Whether the result was delivered.
 };
 
 job_router::job_router(const clock_source& clock,
@@ -64,7 +65,7 @@
     auto* jobs = ownership_.find(part);
     if (jobs == nullptr)
         return done({job_outcome::not_owner, job_state::queued, {}});
-    // Another owner may have accepted a job that this one misses.
+    // If another entry has taken the part, it may have accepted the job.
     const auto reply_if_owner = [this, part, done](const job_reply& reply)
     {
         if (reply.outcome == job_outcome::missing &&
@@ -81,7 +82,7 @@
     case job_verb::state:
         return jobs->state(call.id, reply_if_owner);
     case job_verb::cancel_in_memory:
-        break; // No matter of the journal's: it does not come here.
+        break; // Not a call to the owner of a part; never routed here.
     }
     done({});
 }
@@ -96,7 +97,7 @@
         ++stats_.retried;
     if (ownership_.find(part) != nullptr)
     {
-        ++stats_.here;
+        ++stats_.local;
         call->in_flight = true;
         return serve_locally(
             call->call, [this, call, attempt_number](const job_reply& reply)
@@ -132,7 +133,7 @@
     }
     if (reply->outcome == job_outcome::not_owner)
         return retry(call);
-    // A refusal settles nothing if an earlier try may have been taken.
+    // A refusal is not final if an earlier attempt may have taken effect.
     if (reply->outcome == job_outcome::refused && call->possibly_applied)
         return retry(call);
     finish(call, *reply);
@@ -142,9 +143,9 @@
 {
     const bool submits = call->call.verb == job_verb::submit;
     if (submits && !call->possibly_applied &&
-        clock_.now() - call->started_at >= settings_.ownerless)
+        clock_.now() - call->started_at >= settings_.owner_wait)
         return give_up(call);
-    schedule_after_(settings_.retry, [this, call] { attempt(call); });
+    schedule_after_(settings_.retry_delay, [this, call] { attempt(call); });
 }
 
 void job_router::give_up(const std::shared_ptr<pending_call>& call)
--- a/src/glenhollow/durable/job_router.hpp
+++ b/src/glenhollow/durable/job_router.hpp
@@ -12,53 +12,53 @@
 namespace glenhollow
 {
 
-/// Limits of the router.
+/// Settings of a job_router.
 struct job_router_settings
 {
-    std::size_t parts = 3;                        ///< Of the journal.
-    duration ownerless = milliseconds{150};       ///< A submission waits for an
-                                                  ///< owner so long.
-    duration submit_timeout = milliseconds{1400}; ///< Of a submission that may
-                                                  ///< have been taken.
-    duration query_timeout = milliseconds{3500};  ///< Of other calls.
-    duration attempt_timeout = milliseconds{700}; ///< Of one try at a peer.
-    duration retry = milliseconds{20};            ///< Between tries.
+    std::size_t parts = 3; ///< Number of parts of the journal.
+    duration owner_wait = milliseconds{150};      ///< Time that a submission
+                                                  ///< waits for an owner.
+    duration submit_timeout = milliseconds{1400}; ///< Limit of a submission.
+    duration query_timeout = milliseconds{3500};  ///< Limit of other calls.
+    /// Limit of one attempt at a peer.
+    duration attempt_timeout = milliseconds{700};
+    duration retry_delay = milliseconds{20}; ///< Time between attempts.
 };
 
-/// Counters of the router.
+/// Counters of a job_router.
 struct job_router_stats
 {
-    std::uint64_t here = 0;      ///< Tries at this entry's own parts.
-    std::uint64_t forwarded = 0; ///< Tries at other entries.
-    std::uint64_t ownerless = 0; ///< Tries without an owner.
-    std::uint64_t retried = 0;   ///< Tries after the first.
-    std::array<std::uint64_t, name_table<job_outcome>::names.size()>
-        outcomes{}; ///< Ends of calls.
+    std::uint64_t local = 0;     ///< Attempts at this entry's parts.
+    std::uint64_t forwarded = 0; ///< Attempts at other entries.
+    std::uint64_t ownerless = 0; ///< Attempts without a known owner.
+    std::uint64_t retried = 0;   ///< Attempts after the first.
+    /// Finished calls by outcome.
+    std::array<std::uint64_t, name_table<job_outcome>::names.size()> outcomes{};
 };
 
-/// Brings each call to the owner of its job's part, and tries again while that
-/// is safe: every call can be repeated.
+/// Routes each call to the owner of its job's part and retries until a timeout.
+/// All calls are idempotent, so that retries are safe.
 class job_router final
 {
 public:
-    /// @param clock Outlives it.
-    /// @param later Runs delayed work.
-    /// @param ownership Outlives it.
-    /// @param peers Outlives it.
-    /// @param settings Limits.
+    /// @param clock Must outlive the router.
+    /// @param schedule_after Runs a function after a delay.
+    /// @param ownership Parts of this entry; must outlive the router.
+    /// @param peers Other entries; must outlive the router.
     job_router(const clock_source& clock, journal_chain::delay schedule_after,
                part_ownership& ownership, entry_peers& peers,
                const job_router_settings& settings);
 
-    /// @param call What is asked.
-    /// @param done Told the end, once.
+    /// Routes a call.
+    /// @param done Called exactly once with the result.
     void route(job_call call, job_reply_handler done);
 
-    /// @param call For a part of this entry.
-    /// @param done Told the end, once; `not_owner` where it is another's.
+    /// Executes a call at this entry.
+    /// @param done Called exactly once with the result; `not_owner` if this
+    /// entry does not own the part.
     void serve_locally(const job_call& call, job_reply_handler done);
 
-    /// @return Counters.
+    /// @return Counters since construction.
     const job_router_stats& stats() const { return stats_; }
 
 private:
@@ -73,12 +73,12 @@
     void give_up(const std::shared_ptr<pending_call>& call);
     std::optional<std::string> owner_of(part_number part) const;
 
-    const clock_source& clock_;           ///< This entry's.
-    journal_chain::delay schedule_after_; ///< Runs delayed work.
-    part_ownership& ownership_;           ///< This entry's parts.
-    entry_peers& peers_;                  ///< The others.
-    job_router_settings settings_;        ///< Limits.
-    job_router_stats stats_;              ///< Counters.
+    const clock_source& clock_;
+    journal_chain::delay schedule_after_; ///< Runs a function after a delay.
+    part_ownership& ownership_;           ///< Parts of this entry.
+    entry_peers& peers_;                  ///< Other entries.
+    job_router_settings settings_;
+    job_router_stats stats_;
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/job_rows.cpp
+++ b/src/glenhollow/durable/job_rows.cpp
@@ -1,5 +1,5 @@
-// The journal's rows. Fixed field orders, JSON arrays: a row is read by
-// programs, and each byte of it is paid for at the store.
+// Encoding of journal rows as JSON arrays with a fixed field order, which keeps
+// rows small.
 #include "glenhollow/durable/durable_job.hpp"
 #include "glenhollow/durable/queue_catalog.hpp"
 
@@ -43,28 +43,28 @@
     step.estimate_ms = json::value_to<std::uint32_t>(fields.at(4));
     step.label = json::value_to<std::string>(fields.at(5));
     step.after = json::value_to<std::vector<std::uint32_t>>(fields.at(6));
-    if (fields.size() > preferred_label_field) // Rows of before have none.
+    if (fields.size() > preferred_label_field) // Absent in old rows.
         step.preferred_label =
             json::value_to<std::string>(fields.at(preferred_label_field));
     return step;
 }
 
-/// @param row A JSON text.
-/// @param read Makes the result from its value; may throw.
+/// Parses a journal row.
+/// @param read Converts the JSON value; may throw.
 template <class Value, class Read>
 result<Value> decode(std::string_view row, Read read)
 {
     boost::system::error_code ec;
     const auto value = json::parse(row, ec);
     if (ec)
-        return failure{"a journal row is not JSON: " + ec.message()};
+        return failure{"journal row is not valid JSON: " + ec.message()};
     try
     {
         return read(value);
     }
     catch (const std::exception& wrong)
     {
-        return failure{std::string("a journal row has a wrong form: ") +
+        return failure{std::string("journal row is malformed: ") +
                        wrong.what()};
     }
 }
@@ -92,7 +92,8 @@
             const auto id =
                 job_id_from(json::value_to<std::string>(fields.at(0)));
             if (!id)
-                return failure{"a journal row names no job"};
+                return failure{
+                    "journal row of a job has no valid job id in field 0"};
             job.id = *id;
             job.queue = json::value_to<std::string>(fields.at(1));
             job.service = json::value_to<std::string>(fields.at(2));
@@ -151,7 +152,8 @@
             const auto state = json::value_to<std::size_t>(fields.at(0));
             if (state >= name_table<job_state>::names.size() ||
                 !is_final(static_cast<job_state>(state)))
-                return failure{"a journal row names no state of an end"};
+                return failure{"journal row of an ended job has no final job "
+                               "state in field 0"};
             return ended_job{static_cast<job_state>(state),
                              json::value_to<std::int64_t>(fields.at(1))};
         });
--- a/src/glenhollow/durable/job_wire.cpp
+++ b/src/glenhollow/durable/job_wire.cpp
@@ -45,7 +45,7 @@
         std::chrono::duration_cast<milliseconds>(reply.retry_after).count()));
 }
 
-/// Of a job in a state that a newer version names, nothing is told.
+/// A job state that only a newer version knows is read as an unknown outcome.
 job_reply from_wire(wire::JobAnswer::Reader in)
 {
     if (in.getState() >= name_table<job_state>::names.size())
--- a/src/glenhollow/durable/job_wire.hpp
+++ b/src/glenhollow/durable/job_wire.hpp
@@ -7,23 +7,19 @@
 namespace glenhollow
 {
 
-/// @param out Gets the answer.
-/// @param reply An answer to a call for a job.
+/// Writes a job reply to the wire.
 void fill(wire::JobAnswer::Builder out, const job_reply& reply);
 
-/// @param in An answer on the wire.
-/// @return The answer.
+/// Reads a job reply from the wire.
 job_reply from_wire(wire::JobAnswer::Reader in);
 
-/// @param out Gets the job, its times as lengths from now on.
-/// @param job One in memory.
-/// @param now_ms The sender's time of day, ms since 1970.
+/// Writes an in-memory job to the wire, its times relative to now.
+/// @param now_ms Wall clock of the sender, Unix ms.
 void fill(wire::HandedJob::Builder out, const job_definition& job,
           std::int64_t now_ms);
 
-/// @param in A job on the wire.
-/// @param now_ms The receiver's time of day, ms since 1970.
-/// @return The job, by the receiver's time of day.
+/// Reads a job from the wire and converts its times to the receiver's clock.
+/// @param now_ms Wall clock of the receiver, Unix ms.
 job_definition from_wire(wire::HandedJob::Reader in, std::int64_t now_ms);
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/memory_cancellation.cpp
+++ b/src/glenhollow/durable/memory_cancellation.cpp
@@ -11,13 +11,16 @@
 namespace
 {
 
-/// One that has just begun itself may know less than another.
+/// Entries to fetch from; more than one because an entry that has just started
+/// may know few cancels.
 constexpr std::size_t max_fetch_sources = 2;
 
-/// An entry of an earlier version can't tell, until it is replaced.
+/// Entries of an older version do not support the fetch and are asked again at
+/// this interval.
 constexpr duration fetch_retry_delay = seconds{1};
 
-/// Others that are asked to pass a cancel on: one may be out of reach itself.
+/// Entries through which a cancel is relayed; one alone may be unable to reach
+/// the target.
 constexpr std::size_t max_relays = 2;
 
 std::int64_t to_ms(duration length)
@@ -30,7 +33,7 @@
     return {job_outcome::done, state, {}};
 }
 
-/// An entry of an earlier version answers what it was not asked.
+/// Entries of an older version may reply with a state that is not final.
 bool has_ended(const job_reply& reply)
 {
     return reply.outcome == job_outcome::done && is_final(reply.state);
@@ -91,17 +94,17 @@
     if (has_ended(reply))
     {
         cache_.record(id, clock_.now());
-        cache_.found(id, reply.state);
+        cache_.set_end_state(id, reply.state);
     }
     const auto known = pending_.find(id);
     if (known == pending_.end() ||
         !std::exchange(known->second.awaiting_local, false))
         return;
     if (has_ended(reply))
-        return finish(id, cancel_outcome::here, reply, {});
+        return finish(id, cancel_outcome::local, reply, {});
     if (reply.outcome == job_outcome::missing)
-        return ask_local(id); // Its host gave it back meanwhile.
-    // Its host is gone, and with it, after a while, what it has placed.
+        return ask_local(id); // Its host has returned the job.
+    // The job's host is lost; its runs end when their leases expire.
     auto& pending = known->second;
     pending.broadcast = true;
     pending.journal = job_reply{job_outcome::missing, job_state::queued, {}};
@@ -122,9 +125,10 @@
         broadcast(id);
 }
 
-/// A silent entry is waited for as long as its agents run on for it. One that
-/// can't be asked, from when it was last heard; it may reach others and agents,
-/// unless it has been gone for so long that it was taken away.
+/// A silent entry is waited for until the leases at its agents have expired.
+/// For an unreachable entry that time starts with its last message; it may
+/// still reach its agents, unless it has been silent for the whole retention
+/// time.
 void memory_cancellation::broadcast(job_id id)
 {
     const auto now = clock_.now();
@@ -134,12 +138,13 @@
     pending.broadcast_at = now;
     for (const auto& peer : peers)
     {
-        if (!peer.connected && now - peer.heard >= settings_.cache.retention)
+        if (!peer.connected &&
+            now - peer.last_heard >= settings_.cache.retention)
             continue;
         const auto least =
             now - settings_.silence_timeout + settings_.relay_delay;
         pending.silent_since[peer.name] =
-            peer.connected ? now : std::max(peer.heard, least);
+            peer.connected ? now : std::max(peer.last_heard, least);
     }
     cache_.record(id, now);
     notify_peers(id);
@@ -180,19 +185,20 @@
     }
 }
 
-/// The log goes on telling it: by this way nothing is owed.
+/// A lost relay needs no retry, because the log delivers the cancel once the
+/// entry is reachable.
 void memory_cancellation::on_relay_reply(const std::string& name, job_id id,
                                          const std::optional<job_reply>& reply)
 {
     if (!reply)
         return;
     if (has_ended(*reply))
-        cache_.found(id, reply->state);
+        cache_.set_end_state(id, reply->state);
     const auto known = pending_.find(id);
     if (known == pending_.end())
         return;
     if (has_ended(*reply))
-        return finish(id, cancel_outcome::elsewhere, *reply, name);
+        return finish(id, cancel_outcome::remote, *reply, name);
     if (reply->outcome != job_outcome::missing)
         return;
     known->second.silent_since.erase(name);
@@ -206,88 +212,87 @@
         send_pending(peer);
 }
 
-/// Each entry is told all of the log in turn; one that was cut off, as soon as
-/// it can be reached.
+/// Each entry receives the whole log in order; an unreachable entry receives it
+/// once it is connected again.
 void memory_cancellation::send_pending(const peer_status& peer)
 {
     auto& cursor = cursors_[peer.name];
     if (!peer.connected)
     {
-        // A link that was dropped for silence answers nothing any more.
-        stats_.unacknowledged += cursor.out.size();
-        if (!cursor.out.empty())
-            cursor.next = std::min(cursor.next, *cursor.out.begin());
-        cursor.out.clear();
+        // Replies over a dropped link will not arrive: send again.
+        stats_.unacknowledged += cursor.in_flight.size();
+        if (!cursor.in_flight.empty())
+            cursor.next = std::min(cursor.next, *cursor.in_flight.begin());
+        cursor.in_flight.clear();
         return;
     }
     const auto end = log_begin_ + log_.size();
     cursor.next = std::max(cursor.next, log_begin_);
     while (cursor.next < end &&
-           cursor.out.size() < settings_.max_unacknowledged)
+           cursor.in_flight.size() < settings_.max_unacknowledged)
     {
         const auto number = cursor.next++;
-        const auto told = log_[number - log_begin_];
-        cursor.out.insert(number);
-        ++stats_.told;
-        peers_.cancel(peer.name, told.id,
+        const auto logged = log_[number - log_begin_];
+        cursor.in_flight.insert(number);
+        ++stats_.sent;
+        peers_.cancel(peer.name, logged.id,
                       [this, name = peer.name, number,
-                       told](const std::optional<job_reply>& reply)
-                      { on_cancel_reply(name, number, told, reply); });
+                       logged](const std::optional<job_reply>& reply)
+                      { on_cancel_reply(name, number, logged, reply); });
         if (cursor.next <= number)
-            return; // The link has just gone: later.
+            return; // The link was lost meanwhile; retried later.
     }
 }
 
 void memory_cancellation::on_cancel_reply(const std::string& name,
                                           std::uint64_t number,
-                                          const logged_cancel& told,
+                                          const logged_cancel& logged,
                                           const std::optional<job_reply>& reply)
 {
     auto& cursor = cursors_[name];
-    cursor.out.erase(number);
+    cursor.in_flight.erase(number);
     if (!reply)
     {
         ++stats_.unacknowledged;
         cursor.next = std::min(cursor.next, number);
         return;
     }
-    const auto* before = cache_.find(told.id);
+    const auto* before = cache_.find(logged.id);
     const bool first = before == nullptr || !before->found;
     if (has_ended(*reply))
-        cache_.found(told.id, reply->state);
-    const auto known = pending_.find(told.id);
+        cache_.set_end_state(logged.id, reply->state);
+    const auto known = pending_.find(logged.id);
     if (known == pending_.end())
     {
         if (first && has_ended(*reply))
-            log_ran_after_reply(name, told, *reply);
+            log_ran_after_reply(name, logged, *reply);
         return;
     }
     if (has_ended(*reply))
-        return finish(told.id, cancel_outcome::elsewhere, *reply, name);
+        return finish(logged.id, cancel_outcome::remote, *reply, name);
     known->second.silent_since.erase(name);
     if (reply->outcome == job_outcome::unknown)
-        known->second.silent_since[{}] =
-            clock_.now(); // It has lost the job's host.
-    finish_if_complete(told.id);
+        known->second.silent_since[{}] = clock_.now(); // Its job host is lost.
+    finish_if_complete(logged.id);
 }
 
-/// The caller was told that nobody has it, when the entry that had it could
-/// not be reached.
+/// Logs a job whose cancel was answered as missing while the entry that had the
+/// job was unreachable.
 void memory_cancellation::log_ran_after_reply(const std::string& name,
-                                              const logged_cancel& told,
+                                              const logged_cancel& logged,
                                               const job_reply& reply)
 {
     if (reply.state != job_state::cancelled)
         return;
     ++stats_.ran_after_reply;
     log_change(log_level::warning, "cancelled_job_still_running",
-               {{"job", to_text(told.id)},
+               {{"job", to_text(logged.id)},
                 {"entry", name},
-                {"age_ms", to_ms(clock_.now() - told.since)}});
+                {"age_ms", to_ms(clock_.now() - logged.since)}});
 }
 
-void memory_cancellation::told(job_id id, const std::string& onward,
-                               job_reply_handler done)
+void memory_cancellation::on_peer_cancel(job_id id, const std::string& onward,
+                                         job_reply_handler done)
 {
     if (onward.empty())
         return on_cancel_for_this_entry(id, std::move(done));
@@ -300,7 +305,7 @@
 void memory_cancellation::on_cancel_for_this_entry(job_id id,
                                                    job_reply_handler done)
 {
-    ++stats_.heard;
+    ++stats_.received;
     cache_.record(id, clock_.now());
     cancel_local_for_peer(id,
                           std::make_shared<job_reply_handler>(std::move(done)));
@@ -315,9 +320,9 @@
         {
             if (reply.outcome == job_outcome::missing)
                 return cancel_local_for_peer(
-                    id, shared); // Its host gave it back meanwhile.
+                    id, shared); // Its host has returned it.
             if (has_ended(reply))
-                cache_.found(id, reply.state);
+                cache_.set_end_state(id, reply.state);
             (*shared)(reply);
         });
     if (here)
@@ -341,7 +346,7 @@
     return known->state;
 }
 
-std::vector<cancel_record> memory_cancellation::remembered() const
+std::vector<cancel_record> memory_cancellation::cancel_records() const
 {
     std::vector<cancel_record> out;
     for (const auto& [id, known] : cache_.all())
@@ -406,7 +411,7 @@
     {
         const auto known = pending.silent_since.find(peer.name);
         if (known != pending.silent_since.end())
-            known->second = std::max(known->second, peer.heard);
+            known->second = std::max(known->second, peer.last_heard);
     }
     for (auto at = pending.silent_since.begin();
          at != pending.silent_since.end();)
@@ -459,11 +464,11 @@
         done(reply);
 }
 
-/// What was cancelled before this process began may arrive here again.
+/// Jobs that were cancelled before this process started may be submitted again.
 void memory_cancellation::fetch_from_peers(
     const std::vector<peer_status>& peers)
 {
-    // Nor does it tell what its entry remembers.
+    // Replies over a dropped link will not arrive: ask again.
     for (const auto& peer : peers)
     {
         if (!fetched_ && !peer.connected)
@@ -500,7 +505,7 @@
             continue;
         ++stats_.fetched;
         if (one.found)
-            cache_.found(one.id, one.state);
+            cache_.set_end_state(one.id, one.state);
         cancel_local_for_peer(one.id, std::make_shared<job_reply_handler>(
                                           [](const job_reply&) {}));
     }
--- a/src/glenhollow/durable/memory_cancellation.hpp
+++ b/src/glenhollow/durable/memory_cancellation.hpp
@@ -19,39 +19,36 @@
 namespace glenhollow
 {
 
-/// The jobs in memory that this entry answers for, wherever they are placed.
+/// The in-memory jobs that were submitted to this entry, wherever they run.
 class local_memory_jobs
 {
 public:
     virtual ~local_memory_jobs() = default;
 
-    /// Cancels a job, or tells how it has ended.
-    /// @param id A job.
-    /// @param done Told the end, unless the job is not known here; at once or
-    /// later.
-    /// @return Whether the job is known here.
+    /// Cancels a job, or reports how it has ended.
+    /// @param done Called immediately or later if the job is known.
+    /// @return Whether the job is known.
     virtual bool cancel_local(job_id id, job_reply_handler done) = 0;
 };
 
-/// Another entry as seen from here.
+/// State of another entry.
 struct peer_status
 {
-    std::string name;       ///< Its name.
-    bool connected = false; ///< It can be asked.
-    instant heard{};        ///< When it last told anything; else when it became
-                            ///< known.
+    std::string name;
+    bool connected = false; ///< Whether calls can be sent to it.
+    instant last_heard{};   ///< Time of its last message, or of its discovery.
 };
 
-/// What an entry that has just begun is told by another.
+/// A cancelled job as sent to an entry that has just started.
 struct cancel_record
 {
-    job_id id = 0;                          ///< The job.
-    job_state state = job_state::cancelled; ///< How it ended, as far as known.
-    bool found = false;                     ///< Some entry had it.
-    duration age{};                         ///< Since its cancelling was heard.
+    job_id id = 0;
+    job_state state = job_state::cancelled; ///< Last known end state.
+    bool found = false;                     ///< Whether an entry had the job.
+    duration age{};                         ///< Time since its cancel.
 };
 
-/// The other entries; a fake in tests.
+/// Sends cancels to other entries.
 class cancel_peers
 {
 public:
@@ -61,63 +58,56 @@
 
     virtual ~cancel_peers() = default;
 
-    /// @return All that are known, live or not.
+    /// @return All known entries, connected or not.
     virtual std::vector<peer_status> all() const = 0;
 
-    /// @param name The entry to tell.
-    /// @param id A job that is cancelled.
-    /// @param done Told its answer, or nothing where there is none.
+    /// Cancels a job at another entry.
+    /// @param done Called with the reply, or nothing if there is none.
     virtual void cancel(const std::string& name, job_id id,
                         answer_handler done) = 0;
 
-    /// @param by An entry that may reach another.
-    /// @param name The other, to be told.
-    /// @param id A job that is cancelled.
-    /// @param done Told its answer; nothing, or unknown, where there is none.
+    /// Cancels a job at an entry that this one can't reach.
+    /// @param by Entry that forwards the cancel.
+    /// @param name Entry that receives it.
+    /// @param done Called with the reply; nothing, or an unknown outcome, if
+    /// there is none.
     virtual void relay_cancel(const std::string& by, const std::string& name,
                               job_id id, answer_handler done) = 0;
 
-    /// @param name The entry to ask.
-    /// @param done Told what it remembers, or nothing.
+    /// Fetches the recently cancelled jobs of another entry.
+    /// @param done Called with them, or nothing if the call failed.
     virtual void fetch_cancels(const std::string& name,
                                cancel_records_handler done) = 0;
 };
 
-/// Limits of the cancelling of jobs in memory.
+/// Settings of memory_cancellation.
 struct memory_cancellation_settings
 {
-    duration broadcast_delay = milliseconds{150}; ///< The journal's owner knows
-                                                  ///< kept jobs and answers in
-                                                  ///< a few ms: so long only it
-                                                  ///< is asked.
-    duration silence_timeout =
-        milliseconds{2000}; ///< Nothing runs any more for the jobs
-                            ///< in memory of an entry that was
-                            ///< silent so long: its leases at
-                            ///< agents, and their time to stop.
-    duration reply_timeout =
-        milliseconds{3500}; ///< Of an answer, whatever is known:
-                            ///< that of a call to the journal's
-                            ///< owner, and callers wait for 4 s.
-    duration relay_delay = milliseconds{250}; ///< Without an answer an entry
-                                              ///< is told by way of others;
-                                              ///< one that is out of reach
-                                              ///< at once, and has so long
-                                              ///< to answer that way.
-    std::size_t max_unacknowledged = 64; ///< Without an answer at one entry:
-                                         ///< more wait until it answers.
-    cancel_cache_settings cache;         ///< Bounds.
+    /// Time to wait for the journal's owner before other entries are asked.
+    duration broadcast_delay = milliseconds{150};
+    /// Time after which nothing runs for a silent entry: its leases at the
+    /// agents and their reaction time.
+    duration silence_timeout = milliseconds{2000};
+    /// Limit of the reply to the caller, below the 4 s that callers wait.
+    duration reply_timeout = milliseconds{3500};
+    /// Time to wait for the reply of an entry before the cancel is relayed
+    /// through other entries. For an unreachable entry it is relayed at once,
+    /// and this is the time to wait for the reply.
+    duration relay_delay = milliseconds{250};
+    /// Unacknowledged cancels per entry; further ones are queued.
+    std::size_t max_unacknowledged = 64;
+    cancel_cache_settings cache; ///< Bounds of the cache.
 };
 
-/// How the cancelling of a job was answered.
+/// How a cancel was answered.
 enum class cancel_outcome : std::uint8_t
 {
-    here,       ///< This entry had it.
-    elsewhere,  ///< Another entry had it.
-    journal,    ///< It is a kept job.
-    remembered, ///< It was cancelled before.
-    missing,    ///< Nobody has it, and nothing of it runs.
-    unknown     ///< Not all could be asked, or the journal not.
+    local,      ///< This entry had the job.
+    remote,     ///< Another entry had the job.
+    journal,    ///< The job is journalled.
+    remembered, ///< The job was cancelled earlier.
+    missing,    ///< No entry has the job and nothing of it runs.
+    unknown     ///< An entry or the journal's owner did not answer.
 };
 
 template <>
@@ -127,101 +117,110 @@
         "here", "elsewhere", "journal", "remembered", "missing", "unknown"};
 };
 
-/// Counters of the cancelling of jobs in memory.
+/// Counters of memory_cancellation.
 struct memory_cancellation_stats
 {
-    /// Upper bounds of the ages, ms; the last class has none.
+    /// Upper bounds of the reply times, ms; the last bucket is unbounded.
     static constexpr std::array<std::uint32_t, 4> reply_time_bounds_ms{
         50, 250, 1000, 2500};
 
+    /// Answered cancels by outcome.
     std::array<std::uint64_t, name_table<cancel_outcome>::names.size()>
-        outcomes{}; ///< Answers.
-    std::array<std::uint64_t, reply_time_bounds_ms.size() + 1>
-        reply_times{};                ///< Answers by what they took.
-    std::uint64_t told = 0;           ///< Cancels told to other entries.
-    std::uint64_t unacknowledged = 0; ///< Of these, lost; they are told again.
-    std::uint64_t relayed = 0;        ///< Cancels told by way of others.
-    std::uint64_t heard = 0;          ///< Cancels that others told.
-    std::uint64_t timed_out = 0;      ///< Entries that were waited for in vain.
-    std::uint64_t ran_after_reply =
-        0;                      ///< Jobs that an entry had when it heard of
-                                ///< their cancelling after the answer.
-    std::uint64_t rejected = 0; ///< Submissions of a cancelled job.
-    std::uint64_t fetched = 0;  ///< Cancels from before this process began.
+        outcomes{};
+    /// Answered cancels by reply time.
+    std::array<std::uint64_t, reply_time_bounds_ms.size() + 1> reply_times{};
+    std::uint64_t sent = 0;           ///< Cancels sent to other entries.
+    std::uint64_t unacknowledged = 0; ///< Sent cancels that were lost and are
+                                      ///< sent again.
+    std::uint64_t relayed = 0;   ///< Cancels relayed through other entries.
+    std::uint64_t received = 0;  ///< Cancels received from other entries.
+    std::uint64_t timed_out = 0; ///< Entries that did not answer in time.
+    /// Jobs found at an entry after their cancel was answered.
+    std::uint64_t ran_after_reply = 0;
+    std::uint64_t rejected = 0; ///< Submissions of cancelled jobs.
+    /// Cancels fetched from other entries after the start.
+    std::uint64_t fetched = 0;
 };
 
-/// Cancels jobs in memory wherever they are: asks every entry once, waits no
-/// longer for a silent one than its agents do, tells it when it is back, and
-/// remembers. One thread.
+/// Cancels in-memory jobs at whichever entry has them. A cancel is sent to
+/// every entry; a silent one is waited for until the leases at its agents have
+/// expired and receives the cancel when it is back. Cancelled jobs are cached
+/// so that late submissions are rejected. Not thread-safe.
 class memory_cancellation final
 {
 public:
-    /// Asks the owner of the journal's part.
+    /// Cancels a job at the owner of its part of the journal.
     using journal_cancel = std::function<void(job_id, job_reply_handler)>;
 
-    /// @param clock Outlives it.
-    /// @param holder This entry's jobs; outlives it.
-    /// @param peers The other entries; outlives it.
-    /// @param journal For jobs that are kept.
-    /// @param settings Limits.
+    /// @param clock Must outlive this object.
+    /// @param local_jobs Jobs of this entry; must outlive this object.
+    /// @param peers Other entries; must outlive this object.
+    /// @param journal Cancels journalled jobs.
     memory_cancellation(const clock_source& clock,
                         local_memory_jobs& local_jobs, cancel_peers& peers,
                         journal_cancel journal,
                         const memory_cancellation_settings& settings);
 
-    /// @param id A job that its caller cancels, in memory or kept.
-    /// @param done Told the end, once.
+    /// Cancels a job for its caller.
+    /// @param id A job, in memory or journalled.
+    /// @param done Called exactly once with the result.
     void cancel(job_id id, job_reply_handler done);
 
-    /// @param id A job that another entry cancels.
-    /// @param onward The entry that it is for; empty: this one.
-    /// @param done Told what that entry had; unknown: it is not reached.
-    void told(job_id id, const std::string& onward, job_reply_handler done);
+    /// Handles a cancel from another entry.
+    /// @param onward Entry to which the cancel is relayed; empty: this one.
+    /// @param done Called with the reply of that entry; its outcome is unknown
+    /// if the entry is not reached.
+    void on_peer_cancel(job_id id, const std::string& onward,
+                        job_reply_handler done);
 
-    /// @param id A job in memory that is submitted and not known here.
-    /// @return How it ended if it was cancelled: it must not be run.
+    /// Checks a submitted in-memory job that is not known to this entry.
+    /// @return Its end state if it was cancelled and must not be run.
     std::optional<job_state> reject_if_cancelled(job_id id);
 
-    /// @return What is remembered, for an entry that has just begun.
-    std::vector<cancel_record> remembered() const;
+    /// @return The recently cancelled jobs, for an entry that has just started.
+    std::vector<cancel_record> cancel_records() const;
 
-    /// Does what is due: tells entries that are back, stops waiting.
+    /// Runs periodic work: sends pending cancels and expires waits.
     void tick();
 
-    /// @return Counters.
+    /// @return Counters since construction.
     const memory_cancellation_stats& stats() const { return stats_; }
 
-    /// @return Cancels that are remembered.
-    const cancel_cache& memory() const { return cache_; }
+    /// @return The recently cancelled jobs.
+    const cancel_cache& cache() const { return cache_; }
 
 private:
-    /// One that is not answered.
+    /// A cancel that has not been answered.
     struct pending_cancel
     {
-        instant started_at{};                ///< When it came.
-        std::vector<job_reply_handler> done; ///< Told the end.
-        bool broadcast = false;              ///< Other entries were asked.
-        bool awaiting_local = false;         ///< This entry's answer is out.
-        std::optional<job_reply> journal;    ///< Its owner's answer.
-        std::map<std::string, instant>
-            silent_since;                 ///< Silent since, by entry.
-        std::uint32_t timed_out = 0;      ///< Entries waited for in vain.
-        instant broadcast_at{};           ///< When the others were asked.
-        std::set<std::string> relayed_to; ///< Entries told by way of others.
+        instant started_at{};                ///< Time of the caller's request.
+        std::vector<job_reply_handler> done; ///< Callers to answer.
+        bool broadcast = false; ///< Whether it was sent to other entries.
+        /// Whether this entry's own reply is pending.
+        bool awaiting_local = false;
+        std::optional<job_reply> journal; ///< Reply of the journal's owner.
+        /// Entries without a reply, and the time since which each has been
+        /// silent; an empty name stands for a lost host.
+        std::map<std::string, instant> silent_since;
+        /// Number of entries that did not answer in time.
+        std::uint32_t timed_out = 0;
+        instant broadcast_at{}; ///< Time at which it was sent to the others.
+        std::set<std::string> relayed_to; ///< Entries to which it was relayed.
     };
 
-    /// One that others are told of.
+    /// An entry of the log of cancels to send.
     struct logged_cancel
     {
-        job_id id = 0;   ///< The job.
-        instant since{}; ///< When it came.
+        job_id id = 0;
+        instant since{}; ///< Time of the cancel.
     };
 
-    /// How far an entry has been told.
+    /// Position of another entry in the log of cancels.
     struct peer_cursor
     {
-        std::uint64_t next = 0; ///< Number of the first that it was not told.
-        std::set<std::uint64_t> out; ///< Numbers of those told, not answered.
+        std::uint64_t next = 0; ///< Number of the next cancel to send.
+        /// Numbers of unacknowledged cancels.
+        std::set<std::uint64_t> in_flight;
     };
 
     void ask_local(job_id id);
@@ -238,9 +237,10 @@
     cancel_local_for_peer(job_id id,
                           const std::shared_ptr<job_reply_handler>& shared);
     void on_cancel_reply(const std::string& name, std::uint64_t number,
-                         const logged_cancel& told,
+                         const logged_cancel& logged,
                          const std::optional<job_reply>& reply);
-    void log_ran_after_reply(const std::string& name, const logged_cancel& told,
+    void log_ran_after_reply(const std::string& name,
+                             const logged_cancel& logged,
                              const job_reply& reply);
     void check_pending(job_id id, const std::vector<peer_status>& peers);
     void expire_waits(pending_cancel& pending,
@@ -250,22 +250,23 @@
     void finish(job_id id, cancel_outcome outcome, const job_reply& reply,
                 const std::string& entry);
     void fetch_from_peers(const std::vector<peer_status>& peers);
-    void merge_fetched(const std::vector<cancel_record>& known);
-
-    const clock_source& clock_;                  ///< This entry's.
-    local_memory_jobs& local_jobs_;              ///< This entry's jobs.
-    cancel_peers& peers_;                        ///< The other entries.
-    journal_cancel journal_;                     ///< For kept jobs.
-    memory_cancellation_settings settings_;      ///< Limits.
-    cancel_cache cache_;                         ///< Cancelled lately.
-    std::map<job_id, pending_cancel> pending_;   ///< Not answered.
-    std::deque<logged_cancel> log_;              ///< That others are told of.
-    std::uint64_t log_begin_ = 0;                ///< Number of the log's first.
-    std::map<std::string, peer_cursor> cursors_; ///< By entry.
-    std::set<std::string> fetching_from_;        ///< Asked for what they know.
-    instant next_fetch_at_{};                    ///< After one that failed.
-    bool fetched_ = false;                       ///< One has told.
-    memory_cancellation_stats stats_;            ///< Counters.
+    void merge_fetched(const std::vector<cancel_record>& records);
+
+    const clock_source& clock_;
+    local_memory_jobs& local_jobs_; ///< Jobs of this entry.
+    cancel_peers& peers_;           ///< Other entries.
+    journal_cancel journal_;        ///< Cancels journalled jobs.
+    memory_cancellation_settings settings_;
+    cancel_cache cache_;                       ///< Recently cancelled jobs.
+    std::map<job_id, pending_cancel> pending_; ///< Cancels without an answer.
+    std::deque<logged_cancel> log_; ///< Cancels to send to other entries.
+    std::uint64_t log_begin_ = 0;   ///< Number of the first cancel in the log.
+    std::map<std::string, peer_cursor> cursors_; ///< Log positions by entry.
+    /// Entries asked for their cancelled jobs.
+    std::set<std::string> fetching_from_;
+    instant next_fetch_at_{}; ///< Time of the next fetch after a failure.
+    bool fetched_ = false;    ///< Whether a fetch has succeeded.
+    memory_cancellation_stats stats_;
 };
 
 } // namespace glenhollow
--- a/tests/unit/durable/cancel_over_links_tests.cpp
+++ b/tests/unit/durable/cancel_over_links_tests.cpp
@@ -1,4 +1,4 @@
-// Two entries, an agent and its backend server, over links of their own.
+// Cancels between two entries, an agent and its backend server over RPC links.
 #include "glenhollow/core/run_after.hpp"
 #include "glenhollow/durable/durable_service.hpp"
 #include "glenhollow/rpc/rpc_listener.hpp"
@@ -15,7 +15,7 @@
 
 constexpr duration step_time = milliseconds{2};
 
-/// One entry with its own store, in which the others' rows lie.
+/// An entry with its RPC listener.
 struct linked_entry
 {
     linked_entry(rpc_loop& loop, const std::string& name)
@@ -41,7 +41,7 @@
     std::unique_ptr<durable_service> service;
 };
 
-/// Plays until a condition holds; a deadlock is left to the test's timeout.
+/// Runs until a condition holds; a deadlock ends with the timeout of the test.
 struct linked_entries_fixture
 {
     linked_entries_fixture()
@@ -86,7 +86,7 @@
                            { submitted_ended(got); });
     }
 
-    /// Until the agent is known nothing is taken.
+    /// Submissions are refused, and repeated, until the agent is known.
     void submitted_ended(const job_reply& got)
     {
         submitted = got.outcome != job_outcome::refused;
@@ -98,7 +98,8 @@
     {
         const auto now = process_clock().now();
         runner_loop.advance(now - std::exchange(last_step, now));
-        store_loop.advance(milliseconds{100}); // Its feeds wait for long.
+        // Feeds of the store are long polls.
+        store_loop.advance(milliseconds{100});
         manager.tick();
         agent->tick();
         if (done_condition())
@@ -151,14 +152,14 @@
     linked_entry holder{loop, "holder"};
     linked_entry other{loop, "other"};
     std::function<bool()> done_condition;
-    std::optional<job_reply> reply; ///< To the job's own caller.
-    bool submitted = false;         ///< And taken, as far as is known.
+    std::optional<job_reply> reply; ///< Reply to the caller of the job.
+    bool submitted = false;         ///< Whether the submission is not refused.
     instant last_step{};
 };
 
 } // namespace
 
-TEST_CASE("a job that runs for one entry is cancelled at another, for good")
+TEST_CASE("a job of one entry is cancelled at another entry and not run again")
 {
     linked_entries_fixture world;
     std::optional<job_reply> cancelled;
@@ -177,7 +178,8 @@
             if (!std::exchange(again, true))
             {
                 CHECK(world.reply->state == job_state::cancelled);
-                world.submit(world.other); // Its caller had no answer.
+                world.submit(
+                    world.other); // Resubmitted by a caller without a reply.
                 return false;
             }
             return true;
--- a/tests/unit/durable/coordinator_fixture.hpp
+++ b/tests/unit/durable/coordinator_fixture.hpp
@@ -11,7 +11,7 @@
 
 inline constexpr std::int64_t noon_ms = 1'000'000;
 
-/// One coordinator, its dispatcher and agents that do as they are told.
+/// A coordinator with its dispatcher and two agents that accept every order.
 struct coordinator_fixture : order_sender, task_source
 {
     coordinator_fixture() : placing(loop.clock, *this, *this, {})
@@ -53,9 +53,9 @@
                 store, placing, loop.delay()};
     }
 
-    /// @param begin_by Share of a caller's patience; see
-    /// job_coordinator_settings.
-    /// @param warm_up See there.
+    /// Creates a coordinator of in-memory jobs.
+    /// @param begin_by See job_coordinator_settings.
+    /// @param warm_up See job_coordinator_settings.
     void in_memory(double begin_by = 1.0, duration warm_up = {})
     {
         auto limits = settings();
@@ -65,6 +65,8 @@
         adopt(memory_part);
     }
 
+    /// Creates the coordinator of part 0.
+    /// @param epoch Epoch of its claim.
     void owner(std::uint32_t epoch,
                std::set<std::string> unreported_agents = {},
                loaded_part loaded = {})
@@ -163,7 +165,7 @@
         return coordinator->assign(task, agent);
     }
 
-    /// @return What another entry would load now.
+    /// @return The contents that another entry would load from the journal.
     loaded_part load()
     {
         std::optional<loaded_part> found;
--- a/tests/unit/durable/durable_service_tests.cpp
+++ b/tests/unit/durable/durable_service_tests.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Another entry that only answers exchanges.
+/// A peer that only answers exchanges.
 class exchange_only_peer final : public wire::EntryPeer::Server
 {
 public:
@@ -27,10 +27,10 @@
     }
 
 private:
-    std::function<void()> on_call_; ///< Told of each exchange.
+    std::function<void()> on_call_; ///< Called for each exchange.
 };
 
-/// Another entry that has one job in memory and remembers a cancelled one.
+/// A peer with one in-memory job and one cached cancel.
 class peer_with_jobs final : public wire::EntryPeer::Server
 {
 public:
@@ -68,21 +68,21 @@
     }
 
 private:
-    std::function<void()> on_call_; ///< Told that it was asked what it knows.
+    std::function<void()> on_call_; ///< Called when its cancels are fetched.
 };
 
-/// An entry that claims the first part from the moment at which it sees that
-/// another owns it, by a newer claim.
+/// A peer that claims part 0 with a newer epoch once it sees another owner.
 class newer_owner final : public wire::EntryPeer::Server
 {
 public:
-    /// What it saw, read by the test when the loop has ended.
+    /// Observations, read by the test after the loop has ended.
     struct observations
     {
-        std::uint32_t epoch = 0;     ///< Claimed; 0: nothing yet.
-        bool owned = false;          ///< The other says that it owns the part.
-        bool shows_released = false; ///< Shows the claim as given away again.
-        int exchanges = 0;           ///< Exchanges.
+        std::uint32_t epoch = 0; ///< Epoch of its claim; 0: none yet.
+        bool owned = false; ///< Whether the entry reports the part as owned.
+        bool shows_released =
+            false;         ///< Whether the peer shows its claim as released.
+        int exchanges = 0; ///< Number of exchanges.
     };
 
     newer_owner(observations& observations, std::function<void()> on_end)
@@ -92,7 +92,7 @@
 
     kj::Promise<void> exchange(ExchangeContext context) override
     {
-        constexpr int max_exchanges = 100; // Exchanges, some seconds.
+        constexpr int max_exchanges = 100; // A few seconds.
         const auto peer_parts = context.getParams().getView().getParts();
         observations_.owned = false;
         for (const auto part : peer_parts)
@@ -121,16 +121,16 @@
     }
 
 private:
-    observations& observations_;   ///< What it saw.
-    std::function<void()> on_end_; ///< Told when there is no more to see.
+    observations& observations_;   ///< Observations.
+    std::function<void()> on_end_; ///< Called when the test is done.
 };
 
 } // namespace
 
-TEST_CASE("an entry gives up a part that a live entry owns by a newer claim")
+TEST_CASE("an entry gives up a part that a live entry owns with a newer epoch")
 {
-    // An entry that was paused until others had taken its parts answered 410
-    // for their jobs, for as long as the store was down.
+    // Otherwise a resumed entry reports jobs of the part as missing while the
+    // store is unavailable.
     rpc_loop loop;
     manual_loop store_loop;
     fake_row_store store(store_loop);
@@ -172,7 +172,7 @@
 }
 
 TEST_CASE(
-    "an entry that stood still does not say at once that a job is missing")
+    "a resumed entry verifies its ownership before it reports a job missing")
 {
     rpc_loop loop;
     manual_loop store_loop;
@@ -209,7 +209,7 @@
         {
             service.begin();
             serve_store();
-            // Answered once the part is owned.
+            // Answered once the entry owns the part.
             service.state(42,
                           [&](const job_reply& reply)
                           {
@@ -224,10 +224,9 @@
           std::vector<job_outcome>{job_outcome::missing, job_outcome::missing});
 }
 
-TEST_CASE("an entry with open links ends without a trace of them")
+TEST_CASE("an entry with open links shuts down cleanly")
 {
-    // Found on a deployment: each entry that was stopped while it had links
-    // ended with std::terminate, for their calls outlived the event loop.
+    // Calls on open links must not outlive the event loop.
     rpc_loop loop;
     manual_loop store_loop;
     fake_row_store store(store_loop);
@@ -249,7 +248,7 @@
             links.serve(kj::heap<exchange_only_peer>(
                 [&]
                 {
-                    if (++exchanges == 3) // The last one stays unanswered.
+                    if (++exchanges == 3) // The last exchange stays unanswered.
                         loop.stop();
                 }));
             service.add_seeds({{"127.0.0.1", links.port()}});
@@ -263,7 +262,7 @@
     CHECK(exchanges >= 3);
 }
 
-TEST_CASE("a job in memory is cancelled over the link to its entry")
+TEST_CASE("an in-memory job is cancelled over the link to its entry")
 {
     rpc_loop loop;
     manual_loop store_loop;
@@ -299,7 +298,8 @@
                                    [&](const job_reply& reply)
                                    {
                                        cancelled = reply;
-                                       resubmit(9); // Told by the other one.
+                                       // Its cancel was fetched from the peer.
+                                       resubmit(9);
                                    });
                 }));
             service.add_seeds({{"127.0.0.1", links.port()}});
--- a/tests/unit/durable/job_coordinator_memory_tests.cpp
+++ b/tests/unit/durable/job_coordinator_memory_tests.cpp
@@ -1,11 +1,11 @@
-// Jobs in memory.
+// Coordinator of in-memory jobs.
 #include "unit/durable/coordinator_fixture.hpp"
 
 #include <catch2/catch.hpp>
 
 using namespace glenhollow;
 
-TEST_CASE("a job in memory needs no store and is answered with its end")
+TEST_CASE("an in-memory job needs no store and its reply is its end state")
 {
     coordinator_fixture world;
     world.in_memory();
@@ -17,7 +17,7 @@
     CHECK(world.confirmed.size() == 2);
 }
 
-TEST_CASE("a job in memory that is given up is not called failed")
+TEST_CASE("an expired in-memory job is not reported as failed")
 {
     coordinator_fixture world;
     world.in_memory();
@@ -28,11 +28,11 @@
     CHECK(world.stopped.size() == 2);
 }
 
-TEST_CASE("a job of which nothing was handed out was surely not run")
+TEST_CASE("an expired job without a placed task is reported as not run")
 {
     coordinator_fixture world;
     world.in_memory();
-    // It fills all runners, so that the next one waits.
+    // Fills all backend servers, so that the next job waits.
     world.submit(coordinator_fixture::memory_job(1, 16));
     world.submit(coordinator_fixture::memory_job(2));
     REQUIRE(world.started.size() == 16);
@@ -42,11 +42,11 @@
     CHECK(world.replies.at(1).outcome == job_outcome::unknown);
 }
 
-TEST_CASE("a job that can't end in time for its caller is refused, not begun")
+TEST_CASE("a job that can't end before its expiry is refused, not started")
 {
     coordinator_fixture world;
     world.in_memory();
-    auto fills = coordinator_fixture::memory_job(1, 16); // All runners.
+    auto fills = coordinator_fixture::memory_job(1, 16); // All backend servers.
     fills.expiry_ms += 3000;
     world.submit(fills);
     auto waits = coordinator_fixture::memory_job(2);
@@ -55,29 +55,28 @@
     world.loop.advance(milliseconds{1800});
     world.settle();
     CHECK(world.replies.empty());
-    // 2.1 s of its 3 s have passed: its second does not fit any more.
+    // 2.1 s of 3 s have passed, too late for a job of 1 s.
     world.loop.advance(milliseconds{150});
     world.settle();
     CHECK(world.replies.at(2).outcome == job_outcome::refused);
     CHECK(world.replies.at(2).retry_after > duration{});
-    CHECK_FALSE(world.replies.contains(1)); // It has begun and goes on.
+    CHECK_FALSE(world.replies.contains(1)); // It has started and continues.
     world.end_all(run_outcome::done);
     CHECK(world.replies.at(1).state == job_state::succeeded);
     CHECK(world.started.empty());
 }
 
-TEST_CASE("a job that will be late and has not begun by half time is refused")
+TEST_CASE("a late job that has not started by `begin_by` is refused")
 {
-    // Found on a saturated deployment: callers heard after all their time that
-    // their jobs had not run.
+    // Callers should learn early that a job will not run.
     coordinator_fixture world;
     world.in_memory(0.5);
-    auto fills = coordinator_fixture::memory_job(1, 16); // All runners.
+    auto fills = coordinator_fixture::memory_job(1, 16); // All backend servers.
     fills.expiry_ms += 3000;
     world.submit(fills);
     world.submit(coordinator_fixture::memory_job(2)); // Late after 0.9 s.
     auto patient = coordinator_fixture::memory_job(3);
-    patient.objective_ms += 1500; // In time until 2.4 s.
+    patient.objective_ms += 1500; // Its limit to be on time is 2.4 s.
     world.submit(patient);
     world.loop.advance(milliseconds{1200});
     world.settle();
@@ -86,14 +85,14 @@
     world.settle();
     CHECK(world.replies.at(2).outcome == job_outcome::refused);
     CHECK(world.replies.at(2).retry_after > duration{});
-    CHECK_FALSE(world.replies.contains(1)); // It has begun and goes on.
-    CHECK_FALSE(world.replies.contains(3)); // It may still be in time.
+    CHECK_FALSE(world.replies.contains(1)); // It has started and continues.
+    CHECK_FALSE(world.replies.contains(3)); // It may still be on time.
 }
 
-TEST_CASE("orders that all came back have not run, and their caller hears so")
+TEST_CASE("a job whose orders were all returned is reported as not run")
 {
-    // Found on saturated deployments: such callers were held to the end of
-    // their time, and then told that their jobs may have run.
+    // Guards against callers that wait for the expiry of a job that has not
+    // run.
     coordinator_fixture world;
     world.in_memory(0.5);
     world.submit(coordinator_fixture::memory_job(1));
@@ -103,12 +102,13 @@
     REQUIRE(world.started.empty());
     world.loop.advance(milliseconds{1300});
     CHECK(world.replies.empty());
-    world.loop.advance(milliseconds{100}); // No tick is needed.
+    // The reply does not wait for a tick.
+    world.loop.advance(milliseconds{100});
     REQUIRE(world.replies.contains(1));
     CHECK(world.replies.at(1).outcome == job_outcome::refused);
 }
 
-TEST_CASE("orders that come back after the latest begin are answered at once")
+TEST_CASE("orders returned after the start deadline are answered at once")
 {
     coordinator_fixture world;
     world.in_memory(0.5);
@@ -116,7 +116,7 @@
     REQUIRE(world.started.size() == 2);
     world.drain_all();
     world.loop.advance(milliseconds{2000});
-    CHECK(world.replies.empty()); // What was ordered may run.
+    CHECK(world.replies.empty()); // Placed tasks may run.
     const auto orders = std::exchange(world.started, {});
     world.end(orders[0].first, orders[0].second, run_outcome::not_begun);
     CHECK(world.replies.empty());
@@ -125,7 +125,7 @@
     CHECK(world.replies.at(1).outcome == job_outcome::refused);
 }
 
-TEST_CASE("a job with one task that has run is never said not to have run")
+TEST_CASE("a job with a task that has run is never reported as not run")
 {
     coordinator_fixture world;
     world.in_memory(0.5);
@@ -141,7 +141,7 @@
     CHECK(world.replies.at(1).outcome == job_outcome::unknown);
 }
 
-TEST_CASE("an order that was lost with its agent may have run")
+TEST_CASE("an order lost with its agent may have run")
 {
     coordinator_fixture world;
     world.in_memory(0.5);
@@ -157,17 +157,17 @@
     CHECK(world.replies.at(1).outcome == job_outcome::unknown);
 }
 
-TEST_CASE("an order that its agent never took has not run, lost link or not")
+TEST_CASE("an order that its agent did not receive has not run")
 {
-    // Found on a saturated deployment: callers of such jobs mustn't ask again.
+    // Guards against an `unknown` reply, after which callers may not resubmit.
     coordinator_fixture world;
     world.in_memory(0.5);
     world.submit(coordinator_fixture::memory_job(1, 1));
     REQUIRE(world.started.size() == 1);
     const auto agent = world.started.front().first;
     world.drain_all();
-    SECTION("its link was lost for a moment") {}
-    SECTION("its link was lost for long")
+    SECTION("the link was lost briefly") {}
+    SECTION("the link was lost until the agent timed out")
     {
         world.coordinator->on_agent_lost(agent);
     }
@@ -180,7 +180,7 @@
     CHECK(world.coordinator->stats().orders_settled == 1);
 }
 
-TEST_CASE("an order to a process of an agent that has ended may have run")
+TEST_CASE("an order to an agent process that has ended may have run")
 {
     coordinator_fixture world;
     world.in_memory(0.5);
@@ -188,17 +188,18 @@
     REQUIRE(world.started.size() == 1);
     const auto agent = world.started.front().first;
     world.drain_all();
-    world.coordinator->reconcile_agent(agent, {}); // Of its next process.
+    // Report of the restarted agent process.
+    world.coordinator->reconcile_agent(agent, {});
     lease_account account;
     account.complete = true;
-    world.coordinator->reconcile_agent(agent, account); // The same, once more.
+    world.coordinator->reconcile_agent(agent, account); // Second report of it.
     world.loop.advance(milliseconds{2500});
     CHECK(world.replies.empty());
     world.loop.advance(milliseconds{1000});
     CHECK(world.replies.at(1).outcome == job_outcome::unknown);
 }
 
-TEST_CASE("a lost order that its agent tells of later may have run until then")
+TEST_CASE("a lost order may have run until its agent reports otherwise")
 {
     coordinator_fixture world;
     world.in_memory(0.5);
@@ -211,7 +212,7 @@
     lease_account account;
     account.complete = true;
     account.ends.push_back({run, run_outcome::stopped, 1, 0, true});
-    SECTION("it had begun")
+    SECTION("the run had started")
     {
         world.coordinator->reconcile_agent(agent, account);
         world.loop.advance(milliseconds{2500});
@@ -219,7 +220,7 @@
         world.loop.advance(milliseconds{1000});
         CHECK(world.replies.at(1).outcome == job_outcome::unknown);
     }
-    SECTION("it had not")
+    SECTION("the run had not started")
     {
         account.ends.front().outcome = run_outcome::not_begun;
         world.coordinator->reconcile_agent(agent, account);
@@ -229,7 +230,7 @@
     }
 }
 
-TEST_CASE("a caller that leaves takes its job in memory along")
+TEST_CASE("an in-memory job is abandoned when its caller disconnects")
 {
     coordinator_fixture world;
     world.in_memory();
@@ -238,12 +239,12 @@
     world.settle();
     CHECK(world.stopped.size() == 2);
     CHECK(world.coordinator->open_jobs() == 0);
-    // Found on a day of resets: the caller may hear an answer all the same,
-    // and a job in memory has no other ends than succeeded and failed.
+    // The reply may still reach the caller, and must not name a final state
+    // that the job does not have.
     CHECK(world.replies.at(1).outcome == job_outcome::unknown);
 }
 
-TEST_CASE("a job sent again is given up at its own time, not the first one's")
+TEST_CASE("a resubmitted job expires at its own time, not at the first one's")
 {
     coordinator_fixture world;
     world.in_memory();
@@ -256,7 +257,7 @@
     again.objective_ms += 2000;
     again.expiry_ms += 2000;
     world.submit(again);
-    // Past the first one's time, not past its own.
+    // The expiry of the first submission passes, not that of the second.
     world.loop.advance(milliseconds{1500});
     world.settle();
     CHECK(world.replies.empty());
@@ -266,7 +267,7 @@
     CHECK(world.replies.at(1).outcome == job_outcome::unknown);
 }
 
-TEST_CASE("runs in memory that nobody claimed are left to their own entry")
+TEST_CASE("unclaimed runs of in-memory jobs are left to their own entry")
 {
     coordinator_fixture world;
     world.in_memory();
@@ -280,9 +281,9 @@
     CHECK(world.confirmed.empty());
 }
 
-TEST_CASE("claimed ends are confirmed again after a session was lost")
+TEST_CASE("claimed ends are confirmed again after the loss of a session")
 {
-    // Found on a bench day: the runner's numbers stood still for good.
+    // Otherwise the backend server keeps the ends unconfirmed for ever.
     coordinator_fixture world;
     world.in_memory();
     lease_account account;
@@ -293,7 +294,7 @@
     CHECK(world.confirmed.size() == 1);
 }
 
-TEST_CASE("tasks of a silent agent are placed again, with higher numbers")
+TEST_CASE("tasks of a silent agent are restarted with higher run numbers")
 {
     coordinator_fixture world;
     world.in_memory();
@@ -311,7 +312,7 @@
     }
 }
 
-TEST_CASE("a task that failed goes elsewhere if it can")
+TEST_CASE("a failed task is restarted at another agent if possible")
 {
     coordinator_fixture world;
     world.in_memory();
@@ -322,7 +323,7 @@
     CHECK(world.started.back().first != agent);
 }
 
-TEST_CASE("without a runner, or while it stops, a coordinator takes no job")
+TEST_CASE("jobs are refused without a backend server and during shutdown")
 {
     coordinator_fixture world;
     world.in_memory();
@@ -337,7 +338,7 @@
     CHECK(world.replies.at(2).retry_after > duration{});
 }
 
-TEST_CASE("the caller of a cancelled job in memory hears so at once")
+TEST_CASE("cancelling an in-memory job answers its caller at once")
 {
     coordinator_fixture world;
     world.in_memory();
@@ -355,7 +356,7 @@
     CHECK(world.replies[1].state == job_state::cancelled);
     world.settle();
     CHECK(world.stopped.size() == 2);
-    // Its runs end, and none is placed again.
+    // Its tasks are not restarted when their runs end.
     world.started.clear();
     world.end("agent-1", {{1, 0, 0, 0}, first_memory_run + 1},
               run_outcome::stopped);
@@ -363,7 +364,7 @@
     CHECK(world.started.empty());
 }
 
-TEST_CASE("a cancelled job in memory that comes again is not run anew")
+TEST_CASE("a cancelled in-memory job that is resubmitted is not run")
 {
     coordinator_fixture world;
     world.in_memory();
@@ -377,7 +378,7 @@
     CHECK(world.started.empty());
 }
 
-TEST_CASE("a job that is cancelled before any task is placed places none")
+TEST_CASE("no task is placed of a job cancelled before placement")
 {
     coordinator_fixture world;
     world.in_memory();
@@ -388,10 +389,9 @@
     CHECK(world.started.empty());
 }
 
-TEST_CASE("a job that comes just before the agents waits for them")
+TEST_CASE("a job submitted during warm-up waits for agents to attach")
 {
-    // Found where all VMs had lost power: who asked in the 0.2 s after their
-    // return was refused, while the backend servers stood idle.
+    // Guards against refusals while idle backend servers are about to attach.
     coordinator_fixture world;
     world.placing.detached("agent-1");
     world.placing.detached("agent-2");
@@ -399,7 +399,7 @@
     world.submit(coordinator_fixture::memory_job(1));
     CHECK(world.replies.empty());
     CHECK(world.coordinator->stats().early == 1);
-    SECTION("they attach")
+    SECTION("an agent attaches")
     {
         world.attach("agent-1");
         world.adopt(memory_part);
@@ -408,13 +408,14 @@
         world.end_all(run_outcome::done);
         CHECK(world.replies.at(1).state == job_state::succeeded);
     }
-    SECTION("none attaches")
+    SECTION("no agent attaches")
     {
         world.loop.advance(milliseconds{600});
         world.submit(coordinator_fixture::memory_job(2));
         CHECK(world.replies.at(2).outcome == job_outcome::refused);
         CHECK_FALSE(world.replies.contains(1));
-        // After 0.9 s it would be late: room is for those who are not.
+        // A job that becomes late leaves its room to other jobs, here after 0.9
+        // s.
         world.loop.advance(milliseconds{300});
         REQUIRE(world.replies.contains(1));
         CHECK(world.replies.at(1).outcome == job_outcome::refused);
--- a/tests/unit/durable/job_coordinator_tests.cpp
+++ b/tests/unit/durable/job_coordinator_tests.cpp
@@ -1,11 +1,11 @@
-// Jobs in the journal.
+// Coordinator of journalled jobs.
 #include "unit/durable/coordinator_fixture.hpp"
 
 #include <catch2/catch.hpp>
 
 using namespace glenhollow;
 
-TEST_CASE("a journalled job is accepted once its row is there, then started")
+TEST_CASE("a journalled job is accepted and started once its row is durable")
 {
     coordinator_fixture world;
     world.owner(1);
@@ -20,7 +20,7 @@
     CHECK(world.started.size() == 2);
 }
 
-TEST_CASE("an end is confirmed only after it is in the journal")
+TEST_CASE("the end of a run is confirmed only after it is journalled")
 {
     coordinator_fixture world;
     world.owner(1);
@@ -35,7 +35,7 @@
     CHECK(world.confirmed.size() == 1);
 }
 
-TEST_CASE("a job is shown as succeeded only once that is in the journal")
+TEST_CASE("a job is reported as succeeded only after that is journalled")
 {
     coordinator_fixture world;
     world.owner(1);
@@ -54,7 +54,7 @@
     CHECK_FALSE(world.store.find({"jobs", part_name(0), to_text(1)}));
 }
 
-TEST_CASE("a job sent again remains one job, also after its end")
+TEST_CASE("a resubmitted job is not run again, even after its end")
 {
     coordinator_fixture world;
     world.owner(1);
@@ -67,7 +67,7 @@
     CHECK(world.replies.at(1).outcome == job_outcome::done);
 }
 
-TEST_CASE("without its store an owner refuses new jobs and starts none")
+TEST_CASE("an owner without its store refuses new jobs")
 {
     coordinator_fixture world;
     world.owner(1);
@@ -80,7 +80,7 @@
     CHECK_FALSE(world.store.find({"jobs", part_name(0), to_text(1)}));
 }
 
-TEST_CASE("a successor starts nothing that a silent agent may still run")
+TEST_CASE("a new owner starts no task that a silent agent may still run")
 {
     coordinator_fixture world;
     world.owner(1);
@@ -92,7 +92,7 @@
     world.owner(2, {"agent-1", "agent-2"}, std::move(loaded));
     world.settle();
     CHECK(world.started.empty());
-    // Agent 1 tells of the runs that it has; agent 2 stays silent.
+    // Agent 1 reports its runs; agent 2 stays silent.
     lease_account account;
     for (const auto& [agent, run] : first)
     {
@@ -109,13 +109,9 @@
         CHECK(run.run > first.front().second.run);
 }
 
-// Seen in simulated schedules (durable_schedule_tests, kept jobs, before the
-// mend): one task at two servers at once. The last owner renewed the leases at
-// an agent until it ended; its successor had not heard that agent for longer,
-// for want of a link, gave it up 3.4 s after its own last word of it, and with
-// that stopped waiting for its account, 0.6 s after the claim. The agent went
-// on under the last owner's lease, of 1.8 s, and its server's hold.
-TEST_CASE("a successor waits from its claim on for an agent silent before")
+// Guards against one task at two backend servers: an agent that the successor
+// can't reach may still hold leases that the previous owner renewed.
+TEST_CASE("a new owner waits for a silent agent from its claim on")
 {
     coordinator_fixture world;
     world.owner(1);
@@ -135,7 +131,7 @@
     CHECK(world.started.size() == 2);
 }
 
-TEST_CASE("attempts that failed count across owners, each run once")
+TEST_CASE("failed attempts count once each, across owners")
 {
     coordinator_fixture world;
     world.owner(1);
@@ -145,7 +141,7 @@
     auto loaded = world.load();
     world.owner(2, {}, std::move(loaded));
     world.settle();
-    // The same end, told again: it was counted already.
+    // A repeated report of the same failure counts once.
     world.end(agent, run, run_outcome::failed);
     std::optional<job_reply> state_reply;
     world.coordinator->state(1, [&](const job_reply& reply)
@@ -160,25 +156,25 @@
     CHECK(state_reply->state == job_state::failed);
 }
 
-TEST_CASE("a cancelled job is journalled so, and what runs is stopped")
+TEST_CASE("cancelling a job is journalled and stops its runs")
 {
     coordinator_fixture world;
     world.owner(1);
     world.submit(coordinator_fixture::job(1));
-    std::optional<job_reply> outcomes;
+    std::optional<job_reply> cancelled;
     world.coordinator->cancel(1, [&](const job_reply& reply)
-                              { outcomes = reply; });
-    CHECK_FALSE(outcomes);
+                              { cancelled = reply; });
+    CHECK_FALSE(cancelled);
     world.settle();
-    REQUIRE(outcomes);
-    CHECK(outcomes->state == job_state::cancelled);
+    REQUIRE(cancelled);
+    CHECK(cancelled->state == job_state::cancelled);
     CHECK(world.stopped.size() == 2);
     world.coordinator->cancel(9, [&](const job_reply& reply)
-                              { outcomes = reply; });
-    CHECK(outcomes->outcome == job_outcome::missing);
+                              { cancelled = reply; });
+    CHECK(cancelled->outcome == job_outcome::missing);
 }
 
-TEST_CASE("a later step waits for all tasks of the step before it")
+TEST_CASE("a step waits for all tasks of the steps that it depends on")
 {
     coordinator_fixture world;
     world.owner(1);
@@ -194,9 +190,9 @@
     CHECK(world.started.size() == 2);
 }
 
-TEST_CASE("a job whose row can't be read is not run, ended or denied")
+TEST_CASE("a job with an unreadable row is not run, ended or reported missing")
 {
-    // Written over by another writer, half written, or of a newer version.
+    // Truncated, overwritten, or written by a newer version.
     for (const auto* table : {"jobs", "progress", "ended"})
     {
         for (const auto* value : {"", "{", "[]", "[[9],[]]", "[[0,0],[]]"})
@@ -216,7 +212,7 @@
             world.owner(2, {}, std::move(loaded));
             world.settle();
             for (const auto& [agent, run] : world.started)
-                CHECK(run.task.job == 2); // The others go on.
+                CHECK(run.task.job == 2); // Other jobs continue.
             CHECK(world.started.size() == 2);
             std::vector<job_outcome> outcomes;
             const auto record_outcome = [&](const job_reply& reply)
@@ -224,7 +220,7 @@
             world.coordinator->state(1, record_outcome);
             world.coordinator->cancel(1, record_outcome);
             world.replies.clear();
-            world.submit(coordinator_fixture::job(1)); // Sent again.
+            world.submit(coordinator_fixture::job(1)); // Resubmitted.
             CHECK(outcomes ==
                   std::vector<job_outcome>(2, job_outcome::unknown));
             CHECK(world.replies.at(1).outcome == job_outcome::unknown);
@@ -232,7 +228,7 @@
             const auto row =
                 world.store.find({table, part_name(0), to_text(1)});
             REQUIRE(row);
-            CHECK(row->value == value); // Left to who can read it.
+            CHECK(row->value == value); // The row is not overwritten.
         }
     }
 }
--- a/tests/unit/durable/job_rows_tests.cpp
+++ b/tests/unit/durable/job_rows_tests.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("a job's id is 16 hexadecimal digits, and nothing else")
+TEST_CASE("a job id is accepted only as 16 hexadecimal digits")
 {
     CHECK(to_text(0xabc) == "0000000000000abc");
     CHECK(job_id_from("0000000000000abc") == 0xabcU);
@@ -45,7 +45,7 @@
     CHECK_FALSE(job_id_from("000000000000zabc"));
 }
 
-TEST_CASE("journal rows give back what was written")
+TEST_CASE("journal rows survive a round trip")
 {
     const auto formed = admit_form(sample(), rule(), 1000);
     REQUIRE(formed);
@@ -72,7 +72,7 @@
     CHECK(end.value().state == job_state::cancelled);
 }
 
-TEST_CASE("rows of a wrong form are told, not guessed")
+TEST_CASE("malformed journal rows are rejected")
 {
     CHECK_FALSE(decode_definition("{"));
     CHECK_FALSE(decode_definition("[]"));
@@ -80,7 +80,7 @@
     CHECK_FALSE(decode_ended_job("[99,1]"));
 }
 
-TEST_CASE("a job of a wrong form is refused with its field's name")
+TEST_CASE("a malformed job is refused with the name of the field")
 {
     auto circle = sample();
     circle.steps[0].after = {1};
@@ -99,7 +99,7 @@
           "spec has more than 4000 bytes");
 }
 
-TEST_CASE("a job in memory is given up when nobody waits or wants its end")
+TEST_CASE("only an in-memory job expires, at the earlier of its two limits")
 {
     auto job = sample();
     job.durability_class = durability::in_memory;
@@ -111,7 +111,7 @@
     CHECK(admit_form(job, rule(), 1000).value().expiry_ms == 0);
 }
 
-TEST_CASE("the longest matching prefix of the host names the queue")
+TEST_CASE("a queue is selected by the longest matching prefix of its host")
 {
     queue_catalog catalog;
     auto one = rule();
--- a/tests/unit/durable/memory_cancellation_tests.cpp
+++ b/tests/unit/durable/memory_cancellation_tests.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Jobs in memory that end as they are told.
+/// In-memory jobs with configurable replies.
 struct fake_local_jobs final : local_memory_jobs
 {
     bool cancel_local(job_id id, job_reply_handler done) override
@@ -31,17 +31,17 @@
         return true;
     }
 
-    std::map<job_id, job_state> jobs; ///< By id.
-    bool host_lost = false;           ///< The host of the jobs does not answer.
-    bool returned_by_host = false;    ///< It had given the next one back.
+    std::map<job_id, job_state> jobs; ///< Job states by id.
+    bool host_lost = false;           ///< Whether the host of the jobs is lost.
+    bool returned_by_host = false; ///< Whether the host returned the next job.
 };
 
-/// Some entries with links that can be cut, a journal and a clock.
+/// Entries with links that can fail, a journal and a clock.
 struct cancel_fixture
 {
     struct entry;
 
-    /// What one entry sees of the others.
+    /// Links of one entry to the others.
     struct links final : cancel_peers
     {
         std::vector<peer_status> all() const override;
@@ -56,19 +56,19 @@
         std::string own_name;
     };
 
-    /// One entry.
+    /// State of one entry.
     struct entry
     {
         fake_local_jobs local_jobs;
         links peers;
         std::unique_ptr<memory_cancellation> cancels;
-        bool disconnected = false; ///< No link, either way.
-        bool suspended = false;    ///< Takes calls and does nothing.
-        bool old_version = false; ///< Its version can't tell what it remembers.
-        int fetched = 0;          ///< Times that it was asked for that.
-        bool ignores_calls = false; ///< It is heard, and never answers a call.
-        instant last_heard{};       ///< By the others.
-        std::vector<std::function<void()>> inbox; ///< While frozen.
+        bool disconnected = false;  ///< No links in either direction.
+        bool suspended = false;     ///< Queues calls without handling them.
+        bool old_version = false;   ///< Does not support the fetch of cancels.
+        int fetched = 0;            ///< Number of fetches it has received.
+        bool ignores_calls = false; ///< Alive, but never answers a call.
+        instant last_heard{};       ///< Last message to the others.
+        std::vector<std::function<void()>> inbox; ///< Queued calls.
     };
 
     explicit cancel_fixture(int count = 3)
@@ -139,13 +139,14 @@
     manual_loop loop;
     memory_cancellation_settings settings;
     std::map<std::string, entry> entries;
-    /// Two that don't reach each other, and since when.
+    /// Pairs of entries that can't reach each other, and since when.
     std::map<std::pair<std::string, std::string>, instant> unreachable_pairs;
-    std::pair<std::string, std::string> lossy_link; ///< From, to: all is lost.
-    std::set<job_id> journal;                       ///< Kept jobs.
-    bool journal_silent = false;                    ///< It answers nothing.
-    int journal_calls = 0;                          ///< Times.
-    int replies_to_lose = 0; ///< So many calls are answered by a lost link.
+    /// Sender and receiver of a link that loses all calls.
+    std::pair<std::string, std::string> lossy_link;
+    std::set<job_id> journal;    ///< Journalled jobs.
+    bool journal_silent = false; ///< Whether the journal does not answer.
+    int journal_calls = 0;       ///< Number of calls.
+    int replies_to_lose = 0;     ///< Number of calls whose reply is lost.
     std::vector<job_reply> replies;
 };
 
@@ -183,7 +184,8 @@
                         {
                             if (!world->can_reach(own_name, by))
                                 return done(std::nullopt);
-                            world->entries.at(by).cancels->told(id, name, done);
+                            world->entries.at(by).cancels->on_peer_cancel(
+                                id, name, done);
                         });
 }
 
@@ -199,14 +201,14 @@
             return done(std::nullopt);
         const bool lost = world->replies_to_lose > 0;
         world->replies_to_lose -= lost ? 1 : 0;
-        to.cancels->told(id, {},
-                         [lost, done](const job_reply& reply)
-                         {
-                             if (lost)
-                                 done(std::nullopt);
-                             else
-                                 done(reply);
-                         });
+        to.cancels->on_peer_cancel(id, {},
+                                   [lost, done](const job_reply& reply)
+                                   {
+                                       if (lost)
+                                           done(std::nullopt);
+                                       else
+                                           done(reply);
+                                   });
     };
     world->loop.delay()(milliseconds{1},
                         [this, name, work]
@@ -231,7 +233,7 @@
                                 to.old_version)
                                 done(std::nullopt);
                             else
-                                done(to.cancels->remembered());
+                                done(to.cancels->cancel_records());
                         });
 }
 
@@ -243,7 +245,7 @@
 
 } // namespace
 
-TEST_CASE("a cancel at another entry finds the job where it is")
+TEST_CASE("a cancel reaches the job at another entry")
 {
     cancel_fixture world;
     world.at(2).local_jobs.jobs[7] = job_state::running;
@@ -253,10 +255,10 @@
     CHECK(world.replies[0].outcome == job_outcome::done);
     CHECK(world.replies[0].state == job_state::cancelled);
     CHECK(world.at(2).local_jobs.jobs[7] == job_state::cancelled);
-    CHECK(count_of(*world.at(0).cancels, cancel_outcome::elsewhere) == 1);
+    CHECK(count_of(*world.at(0).cancels, cancel_outcome::remote) == 1);
 }
 
-TEST_CASE("a job that this entry has is cancelled at once, and others hear")
+TEST_CASE("a local job is cancelled at once and the cancel is broadcast")
 {
     cancel_fixture world;
     world.at(0).local_jobs.jobs[7] = job_state::running;
@@ -269,7 +271,7 @@
     CHECK(world.at(2).cancels->reject_if_cancelled(7) == job_state::cancelled);
 }
 
-TEST_CASE("a job whose host is lost is answered for when nothing of it runs")
+TEST_CASE("a cancel of a job with a lost host waits until nothing runs")
 {
     cancel_fixture world;
     world.at(0).local_jobs.jobs[7] = job_state::running;
@@ -283,7 +285,7 @@
     CHECK(world.at(1).cancels->reject_if_cancelled(7) == job_state::cancelled);
 }
 
-TEST_CASE("a job whose host another entry has lost is answered for as well")
+TEST_CASE("a cancel of another entry's job with a lost host waits likewise")
 {
     cancel_fixture world;
     world.at(2).local_jobs.jobs[7] = job_state::running;
@@ -296,7 +298,7 @@
     CHECK(world.replies[0].outcome == job_outcome::missing);
 }
 
-TEST_CASE("a job that its host gave back meanwhile is cancelled here")
+TEST_CASE("a job that its host has returned is cancelled locally")
 {
     cancel_fixture world;
     world.at(0).local_jobs.jobs[7] = job_state::queued;
@@ -306,7 +308,7 @@
     CHECK(world.replies[0].state == job_state::cancelled);
 }
 
-TEST_CASE("nobody has it: told so as soon as all have answered")
+TEST_CASE("an unknown job is reported missing once all entries have replied")
 {
     cancel_fixture world;
     world.cancel(0, 7);
@@ -316,7 +318,7 @@
     CHECK(world.replies[0].outcome == job_outcome::missing);
 }
 
-TEST_CASE("while its holder is cut off, a cancel is answered when nothing runs")
+TEST_CASE("a cancel waits for the leases of a disconnected entry to expire")
 {
     cancel_fixture world;
     world.at(2).local_jobs.jobs[7] = job_state::running;
@@ -324,12 +326,12 @@
     world.run(milliseconds{300});
     world.cancel(0, 7);
     world.run(milliseconds{1500});
-    CHECK(world.replies.empty()); // What it has placed may run.
+    CHECK(world.replies.empty()); // Its placed tasks may run.
     world.run(milliseconds{300});
     REQUIRE(world.replies.size() == 1);
     CHECK(world.replies[0].outcome == job_outcome::missing);
     CHECK(world.at(0).cancels->stats().timed_out == 1);
-    // As soon as it is back it must not place the tasks again.
+    // Once reconnected it must not restart the tasks.
     CHECK(world.at(2).local_jobs.jobs[7] == job_state::running);
     world.at(2).disconnected = false;
     world.run(milliseconds{20});
@@ -337,7 +339,7 @@
     CHECK(world.at(0).cancels->stats().ran_after_reply == 1);
 }
 
-TEST_CASE("a frozen holder hears of the cancel before it places anything")
+TEST_CASE("a resumed entry handles a cancel before it places tasks")
 {
     cancel_fixture world;
     world.at(2).local_jobs.jobs[7] = job_state::running;
@@ -353,16 +355,16 @@
     CHECK(world.at(2).local_jobs.jobs[7] == job_state::cancelled);
 }
 
-TEST_CASE("an entry that was gone long before is not waited for")
+TEST_CASE("an entry that has been down for long is not waited for")
 {
     cancel_fixture world;
     world.at(2).disconnected = true;
     world.run(seconds{3});
     world.cancel(0, 7);
-    world.run(milliseconds{270}); // Others may have reached it.
+    world.run(milliseconds{270}); // Time for a relay through other entries.
     REQUIRE(world.replies.size() == 1);
     CHECK(world.replies[0].outcome == job_outcome::missing);
-    // After a minute it has been taken away, and nobody is asked for it.
+    // It is ignored after the retention time, and no cancel is relayed.
     world.run(seconds{60});
     const auto relayed = world.at(0).cancels->stats().relayed;
     world.cancel(0, 8);
@@ -371,18 +373,19 @@
     CHECK(world.at(0).cancels->stats().relayed == relayed);
 }
 
-TEST_CASE("a holder out of reach is told by way of an entry that reaches it")
+TEST_CASE("a cancel is relayed to an entry that is unreachable from here")
 {
     cancel_fixture world;
     world.at(2).local_jobs.jobs[7] = job_state::running;
     world.unreachable_pairs[{"entry-0", "entry-2"}] = world.loop.clock.now();
-    world.run(seconds{3}); // It looks gone, and its agents work on for it.
+    // It seems down while its agents keep running its jobs.
+    world.run(seconds{3});
     world.cancel(0, 7);
     world.run(milliseconds{20});
     REQUIRE(world.replies.size() == 1);
     CHECK(world.replies[0].state == job_state::cancelled);
     CHECK(world.at(2).local_jobs.jobs[7] == job_state::cancelled);
-    // One that has nothing says so the same way.
+    // An entry without the job replies the same way.
     world.cancel(0, 8);
     world.run(milliseconds{20});
     REQUIRE(world.replies.size() == 2);
@@ -390,9 +393,9 @@
     CHECK(world.at(2).cancels->reject_if_cancelled(8) == job_state::cancelled);
 }
 
-TEST_CASE("a holder whose link is lost one way is told by another way")
+TEST_CASE("a cancel is relayed around a link that loses calls in one direction")
 {
-    // The link looks sound still, and nothing comes by it.
+    // The link still seems connected but delivers nothing.
     cancel_fixture world;
     world.at(2).local_jobs.jobs[7] = job_state::running;
     world.lossy_link = {"entry-0", "entry-2"};
@@ -404,7 +407,7 @@
     CHECK(world.replies[0].state == job_state::cancelled);
 }
 
-TEST_CASE("an entry that is live and never answers makes it unknown, in time")
+TEST_CASE("a live entry that never replies leads to an unknown outcome in time")
 {
     cancel_fixture world;
     world.at(2).ignores_calls = true;
@@ -416,7 +419,7 @@
     CHECK(world.replies[0].outcome == job_outcome::unknown);
 }
 
-TEST_CASE("a cancel whose answer was lost is told again")
+TEST_CASE("a cancel whose reply is lost is sent again")
 {
     cancel_fixture world(2);
     world.at(1).local_jobs.jobs[7] = job_state::running;
@@ -428,7 +431,7 @@
     CHECK(world.at(0).cancels->stats().unacknowledged == 1);
 }
 
-TEST_CASE("a job is cancelled once, at however many entries that is asked")
+TEST_CASE("repeated cancels at several entries all get the same reply")
 {
     cancel_fixture world;
     world.at(2).local_jobs.jobs[7] = job_state::running;
@@ -439,7 +442,7 @@
     REQUIRE(world.replies.size() == 3);
     for (const auto& reply : world.replies)
         CHECK(reply.state == job_state::cancelled);
-    // Also when its holder remembers its end no more.
+    // Also after the entry with the job has forgotten its end.
     world.at(2).local_jobs.jobs.clear();
     world.cancel(1, 7);
     world.run(milliseconds{20});
@@ -448,7 +451,7 @@
     CHECK(world.replies[3].state == job_state::cancelled);
 }
 
-TEST_CASE("a cancel that overtakes its job bars it at every entry")
+TEST_CASE("a cancel that arrives before its job blocks it at every entry")
 {
     cancel_fixture world;
     world.cancel(0, 7);
@@ -460,7 +463,7 @@
     CHECK_FALSE(world.at(0).cancels->reject_if_cancelled(8));
 }
 
-TEST_CASE("a cancel after the job's end tells how it ended")
+TEST_CASE("a cancel after the end of a job returns its end state")
 {
     cancel_fixture world;
     world.at(2).local_jobs.jobs[7] = job_state::succeeded;
@@ -471,18 +474,18 @@
     CHECK(world.at(0).cancels->reject_if_cancelled(7) == job_state::succeeded);
 }
 
-TEST_CASE("for a kept job no other entry is asked")
+TEST_CASE("a cancel of a journalled job is not broadcast")
 {
     cancel_fixture world;
     world.journal.insert(7);
     world.cancel(0, 7);
     REQUIRE(world.replies.size() == 1);
     CHECK(world.replies[0].state == job_state::cancelled);
-    CHECK(world.at(0).cancels->stats().told == 0);
-    CHECK(world.at(0).cancels->memory().size() == 0);
+    CHECK(world.at(0).cancels->stats().sent == 0);
+    CHECK(world.at(0).cancels->cache().size() == 0);
 }
 
-TEST_CASE("while the journal's owner is silent, jobs in memory are found")
+TEST_CASE("in-memory jobs are cancelled while the journal's owner is silent")
 {
     cancel_fixture world;
     world.journal_silent = true;
@@ -491,30 +494,30 @@
     world.run(milliseconds{250});
     REQUIRE(world.replies.size() == 1);
     CHECK(world.replies[0].state == job_state::cancelled);
-    // One that nobody has in memory may be a kept one.
+    // A job that no entry has may be journalled.
     world.cancel(0, 8);
     world.run(seconds{5});
     REQUIRE(world.replies.size() == 2);
     CHECK(world.replies[1].outcome == job_outcome::unknown);
 }
 
-TEST_CASE("an entry that begins anew learns what was cancelled before")
+TEST_CASE("a restarted entry fetches earlier cancels")
 {
     cancel_fixture world;
     world.at(2).local_jobs.jobs[7] = job_state::running;
     world.cancel(0, 7);
     world.run(seconds{1});
-    world.start("entry-0"); // The one that took the cancel.
+    world.start("entry-0"); // The entry that received the cancel.
     CHECK_FALSE(world.at(0).cancels->reject_if_cancelled(7));
     world.run(milliseconds{20});
     CHECK(world.at(0).cancels->reject_if_cancelled(7) == job_state::cancelled);
-    // No longer than the others remember it.
+    // The fetched cancel expires together with the original.
     world.run(seconds{60});
     CHECK_FALSE(world.at(0).cancels->reject_if_cancelled(7));
     CHECK_FALSE(world.at(1).cancels->reject_if_cancelled(7));
 }
 
-TEST_CASE("an entry that can't tell what it remembers is seldom asked")
+TEST_CASE("an entry that does not support the fetch is asked once a second")
 {
     cancel_fixture world(2);
     world.at(1).old_version = true;
@@ -529,7 +532,7 @@
     CHECK(world.at(1).fetched == 4);
 }
 
-TEST_CASE("a job that came again before the entry had learned is cancelled")
+TEST_CASE("a job submitted before the fetch completes is cancelled by it")
 {
     cancel_fixture world;
     world.cancel(0, 7);
@@ -540,7 +543,7 @@
     CHECK(world.at(1).local_jobs.jobs[7] == job_state::cancelled);
 }
 
-TEST_CASE("cancels are remembered for a time and up to a number")
+TEST_CASE("the cancel cache is bounded by time and size")
 {
     cancel_cache memory({seconds{10}, 3});
     const instant begin = seconds{100};
@@ -557,7 +560,7 @@
     CHECK(memory.evictions() == 1);
 }
 
-TEST_CASE("more cancels than an entry answers at once are told in turn")
+TEST_CASE("unacknowledged cancels per entry are bounded")
 {
     cancel_fixture world(2);
     world.at(1).suspended = true;
@@ -568,10 +571,10 @@
     world.resume(1);
     world.run(milliseconds{50});
     CHECK(world.replies.size() == 100);
-    CHECK(world.at(1).cancels->memory().size() == 100);
+    CHECK(world.at(1).cancels->cache().size() == 100);
 }
 
-TEST_CASE("a cancel lost with a link that fell silent is told once it is back")
+TEST_CASE("a cancel lost with a dropped link is sent after the reconnect")
 {
     cancel_fixture world(2);
     world.at(1).local_jobs.jobs[7] = job_state::running;
@@ -579,8 +582,7 @@
     world.cancel(0, 7);
     world.run(seconds{4});
     CHECK(world.at(1).local_jobs.jobs[7] == job_state::running);
-    world.at(1).disconnected =
-        true; // The link is dropped: its calls end unanswered.
+    world.at(1).disconnected = true; // Its calls end without a reply.
     world.run(milliseconds{100});
     world.at(1).ignores_calls = world.at(1).disconnected = false;
     world.run(milliseconds{100});
