--- a/programs/durable_agent_main.cpp
+++ b/programs/durable_agent_main.cpp
@@ -1,7 +1,7 @@
 // glenhollow-durable-agent: the one voice that speaks to the runner beside it.
 #include "durable_agent.hpp"
 #include "glenhollow/command_line/command_line.hpp"
-#include "glenhollow/durable/margins.hpp"
+#include "glenhollow/durable/lease_timing.hpp"
 #include "glenhollow/telemetry/log.hpp"
 
 #include <algorithm>
@@ -67,12 +67,12 @@
     // are made for this hold.
     settings.manager.hold =
         std::min<duration>(milliseconds{given.hold_ms}, longest_hold);
-    auto margins = default_margins();
+    auto margins = default_lease_timing();
     margins.hold = settings.manager.hold;
     margins.memory_lease = settings.manager.memory_lease;
     margins.part_lease = settings.manager.part_lease;
     margins.stop_time = settings.manager.stop_time;
-    BOOST_OUTCOME_TRYV(check_margins(margins));
+    BOOST_OUTCOME_TRYV(check_lease_timing(margins));
     settings.grace = seconds{given.grace_s};
     return settings;
 }
--- a/src/glenhollow/durable/agent_clock.hpp
+++ b/src/glenhollow/durable/agent_clock.hpp
@@ -19,14 +19,14 @@
 public:
     /// @param sent When a report left, by the agent's clock.
     /// @param received When it was taken, by this entry's.
-    void heard(instant sent, instant received)
+    void on_report(instant sent, instant received)
     {
-        sent_ = sent;
+        agent_time_ = sent;
         received_ = received;
     }
 
     /// The agent's process may be another one.
-    void forget() { sent_ = {}; }
+    void reset() { agent_time_ = {}; }
 
     /// @param when A moment of this entry's clock, past the last report.
     /// @return What the agent's clock shows then at least; nothing where no
@@ -34,15 +34,15 @@
     std::optional<instant> at(instant when) const
     {
         constexpr int drift = 25; // Clocks differ by a fiftieth, at most.
-        if (sent_.count() == 0)
+        if (agent_time_.count() == 0)
             return std::nullopt;
-        const auto passed = std::max(duration{0}, when - received_);
-        return sent_ + passed - passed / drift;
+        const auto elapsed = std::max(duration{0}, when - received_);
+        return agent_time_ + elapsed - elapsed / drift;
     }
 
 private:
-    instant sent_{};     ///< By the agent's clock; 0: not known.
-    instant received_{}; ///< By this entry's.
+    instant agent_time_{}; ///< By the agent's clock; 0: not known.
+    instant received_{};   ///< By this entry's.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/agent_sessions.cpp
+++ b/src/glenhollow/durable/agent_sessions.cpp
@@ -15,14 +15,14 @@
     std::unique_ptr<rpc_link> link;                    ///< The connection.
     kj::Maybe<wire::RunSession::Client> orders;        ///< Open while attached.
     kj::Maybe<wire::RunAgent::Client> agent_interface; ///< The same.
-    std::uint64_t number = 0;    ///< Of the session, rising.
-    bool attached = false;       ///< It has been opened.
-    instant silent_since{};      ///< Unless it reports.
-    agent_clock clock;           ///< As far as it is known.
-    std::uint64_t process = 0;   ///< Of the agent; 0: never attached.
-    std::uint64_t accounted = 0; ///< Which has told last what it runs for this
-                                 ///< entry's jobs in memory.
-    instant down_since{};        ///< When the last session ended.
+    std::uint64_t number = 0;            ///< Of the session, rising.
+    bool attached = false;               ///< It has been opened.
+    instant silent_since{};              ///< Unless it reports.
+    agent_clock clock;                   ///< As far as it is known.
+    std::uint64_t process = 0;           ///< Of the agent; 0: never attached.
+    std::uint64_t accounted_process = 0; ///< Which has told last what it runs
+                                         ///< for this entry's jobs in memory.
+    instant down_since{}; ///< When the last session ended.
 };
 
 namespace
@@ -30,7 +30,7 @@
 
 /// A longer time without a session, and an agent may have forgotten ends that
 /// nobody asked for; it keeps them for 10 s (see run_manager_settings).
-constexpr duration longest_gap = seconds{5};
+constexpr duration max_session_gap = seconds{5};
 
 } // namespace
 
@@ -46,10 +46,10 @@
 
     kj::Promise<void> report(ReportContext context) override
     {
-        sessions_.heard(agent_, number_, context.getParams().getReport());
+        sessions_.on_report(agent_, number_, context.getParams().getReport());
         const auto owned = sessions_.listener_.renewed_parts();
         auto results = context.getResults();
-        results.setRoomGapMs(sessions_.room_gap_ms(agent_));
+        results.setRoomGapMs(sessions_.room_report_interval_ms(agent_));
         results.setPlaces(sessions_.listener_.places_for_others(agent_));
         const auto hall = sessions_.listener_.evacuation_of(agent_);
         results.setEvacuated(hall.evacuated);
@@ -96,7 +96,7 @@
         io_, clock_, where, settings_.link,
         [this, agent](capnp::Capability::Client server)
         { connected(agent, server.castAs<wire::RunAgent>()); },
-        [this, agent] { down(agent); });
+        [this, agent] { disconnected(agent); });
     one->link->tick();
 }
 
@@ -114,10 +114,10 @@
                                wire::RunAgent::Client interface)
 {
     auto& to = *sessions_.at(agent);
-    to.number = ++numbers_;
-    to.clock.forget();
+    to.number = ++last_number_;
+    to.clock.reset();
     to.silent_since =
-        clock_.now() + settings_.attach_patience - settings_.silence;
+        clock_.now() + settings_.attach_timeout - settings_.silence;
     auto request = interface.attachRequest();
     to.agent_interface = kj::mv(interface);
     request.setEntry(settings_.entry);
@@ -151,28 +151,29 @@
         adopt_at(to, part);
 }
 
-void agent_sessions::down(const std::string& agent)
+void agent_sessions::disconnected(const std::string& agent)
 {
     const auto known = sessions_.find(agent);
     if (known == sessions_.end())
         return;
-    auto& gone = *known->second;
-    gone.orders = nullptr;
-    gone.agent_interface = nullptr;
-    if (!std::exchange(gone.attached, false))
+    auto& ended = *known->second;
+    ended.orders = nullptr;
+    ended.agent_interface = nullptr;
+    if (!std::exchange(ended.attached, false))
         return;
     // Of its last word: this process may have stood still since.
-    gone.down_since = std::min(clock_.now(), gone.silent_since);
+    ended.down_since = std::min(clock_.now(), ended.silent_since);
     log_change(log_level::warning, "agent_detached", {{"agent", agent}});
     listener_.agent_detached(agent);
 }
 
 /// @return Whether the agent has told, or kept, all since its last account.
-bool agent_sessions::kept_all(session& by)
+bool agent_sessions::is_account_complete(session& by)
 {
-    const bool same = std::exchange(by.accounted, by.process) == by.process &&
-                      by.process != 0;
-    return same && clock_.now() - by.down_since < longest_gap;
+    const bool same =
+        std::exchange(by.accounted_process, by.process) == by.process &&
+        by.process != 0;
+    return same && clock_.now() - by.down_since < max_session_gap;
 }
 
 void agent_sessions::adopt(part_epoch part)
@@ -198,7 +199,7 @@
                 const auto from = sessions_.find(agent);
                 if (part.part == memory_part && from != sessions_.end() &&
                     from->second->number == number)
-                    account.complete = kept_all(*from->second);
+                    account.complete = is_account_complete(*from->second);
                 for (auto run : answer.getRuns())
                     account.runs.push_back(from_wire(run));
                 for (auto end : answer.getEnds())
@@ -209,8 +210,8 @@
     }
 }
 
-void agent_sessions::heard(const std::string& agent, std::uint64_t number,
-                           wire::RunReport::Reader report)
+void agent_sessions::on_report(const std::string& agent, std::uint64_t number,
+                               wire::RunReport::Reader report)
 {
     const auto known = sessions_.find(agent);
     if (known == sessions_.end() || known->second->number != number)
@@ -225,7 +226,8 @@
     for (auto grant : report.getGranted())
         state.granted.push_back(grant);
     state.next_within = milliseconds{report.getNextWithinMs()};
-    known->second->clock.heard(told_instant(report.getSentAt()), clock_.now());
+    known->second->clock.on_report(told_instant(report.getSentAt()),
+                                   clock_.now());
     known->second->silent_since =
         glenhollow::silent_since(clock_.now(), state.next_within);
     listener_.agent_reported(agent, state, ends, begun);
@@ -253,14 +255,15 @@
     }
 }
 
-std::uint32_t agent_sessions::room_gap_ms(const std::string& agent) const
+std::uint32_t
+agent_sessions::room_report_interval_ms(const std::string& agent) const
 {
-    const auto gap = listener_.room_gap(agent, attached_);
+    const auto gap = listener_.room_report_interval(agent, attached_count_);
     return static_cast<std::uint32_t>(
         std::chrono::duration_cast<milliseconds>(gap).count());
 }
 
-void agent_sessions::tell_pace()
+void agent_sessions::send_report_pacing()
 {
     for (auto& [agent, one] : sessions_)
     {
@@ -269,7 +272,7 @@
         KJ_IF_MAYBE (orders, one->orders)
         {
             auto request = orders->paceRequest();
-            request.setRoomGapMs(room_gap_ms(agent));
+            request.setRoomGapMs(room_report_interval_ms(agent));
             request.setPlaces(listener_.places_for_others(agent));
             one->link->add(
                 request.send().then([](auto&&) {}, [](kj::Exception&&) {}));
@@ -280,11 +283,11 @@
 void agent_sessions::tick()
 {
     std::vector<rpc_link*> silent;
-    attached_ = 0;
+    attached_count_ = 0;
     for (auto& [agent, one] : sessions_)
     {
         one->link->tick();
-        attached_ += one->attached ? 1 : 0;
+        attached_count_ += one->attached ? 1 : 0;
         if (one->link->up() &&
             clock_.now() - one->silent_since > settings_.silence)
             silent.push_back(one->link.get());
--- a/src/glenhollow/durable/agent_sessions.hpp
+++ b/src/glenhollow/durable/agent_sessions.hpp
@@ -74,8 +74,8 @@
     /// @param agent One that reports.
     /// @param agents Agents that report.
     /// @return The least time between two reports of its room.
-    virtual duration room_gap(const std::string& agent,
-                              std::size_t agents) const = 0;
+    virtual duration room_report_interval(const std::string& agent,
+                                          std::size_t agents) const = 0;
 
     /// @param agent One that reports.
     /// @return Whether this entry places the tasks of others there.
@@ -91,16 +91,17 @@
 };
 
 /// Between two reports of an agent that has runs of the entry, at most.
-inline constexpr duration busy_heartbeat = milliseconds{200};
+inline constexpr duration busy_report_interval = milliseconds{200};
 
 /// From when on an agent counts as silent: one that has announced its next
 /// report for later is not missed before.
 /// @param heard When it reported.
 /// @param next_within What it announced.
 /// @return The begin of its silence, unless it reports again.
-constexpr instant silent_since(instant heard, duration next_within)
+constexpr instant silent_since(instant on_report, duration next_within)
 {
-    return heard + std::max(duration{0}, next_within - busy_heartbeat);
+    return on_report +
+           std::max(duration{0}, next_within - busy_report_interval);
 }
 
 /// Limits of the sessions.
@@ -110,7 +111,7 @@
     std::uint64_t incarnation = 0;         ///< Of this entry.
     duration silence = milliseconds{1200}; ///< Without a report that is due:
                                            ///< gone.
-    duration attach_patience = seconds{3}; ///< For the answer of a new link;
+    duration attach_timeout = seconds{3};  ///< For the answer of a new link;
                                            ///< all attach at once when all
                                            ///< have started.
     rpc_link_settings link;                ///< Limits of the connections.
@@ -142,7 +143,7 @@
     void send(const std::string& agent, order_batch batch) override;
 
     /// Tells the agents at which this entry places that it needs their room.
-    void tell_pace();
+    void send_report_pacing();
 
     /// Connects, and drops what is silent.
     void tick();
@@ -165,7 +166,7 @@
     bool open_host(const std::string& agent, host_handler done);
 
     /// @return Agents with an open session, by last tick.
-    std::size_t attached() const { return attached_; }
+    std::size_t attached() const { return attached_count_; }
 
 private:
     class report_server;
@@ -174,20 +175,20 @@
     void connected(const std::string& agent, wire::RunAgent::Client interface);
     void attached(session& to, wire::RunSession::Client opened,
                   const runner_report& report);
-    void down(const std::string& agent);
+    void disconnected(const std::string& agent);
     void adopt_at(session& at, part_epoch part);
-    bool kept_all(session& by);
-    std::uint32_t room_gap_ms(const std::string& agent) const;
-    void heard(const std::string& agent, std::uint64_t number,
-               wire::RunReport::Reader report);
+    bool is_account_complete(session& by);
+    std::uint32_t room_report_interval_ms(const std::string& agent) const;
+    void on_report(const std::string& agent, std::uint64_t number,
+                   wire::RunReport::Reader report);
 
     boost::asio::io_context& io_;      ///< Runs them.
     const clock_source& clock_;        ///< This entry's.
     agent_session_listener& listener_; ///< Told.
     agent_sessions_settings settings_; ///< Limits.
     std::map<std::string, std::unique_ptr<session>> sessions_; ///< By agent.
-    std::size_t attached_ = 0;  ///< By last tick.
-    std::uint64_t numbers_ = 0; ///< Of sessions.
+    std::size_t attached_count_ = 0; ///< By last tick.
+    std::uint64_t last_number_ = 0;  ///< Of sessions.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/agent_view.cpp
+++ b/src/glenhollow/durable/agent_view.cpp
@@ -9,8 +9,8 @@
 {
 
 constexpr double pace_weight = 0.05;
-constexpr double least_pace = 0.2;
-constexpr double most_pace = 20.0;
+constexpr double min_pace = 0.2;
+constexpr double max_pace = 20.0;
 
 } // namespace
 
@@ -20,7 +20,7 @@
     if (report.account.life() != report_.account.life())
         pace_ = 1.0; // It may be of another kind.
     report_ = report;
-    flying_.clear();
+    in_flight_.clear();
     granted_.clear();
     pending_ = {};
     reserved_ = {};
@@ -35,7 +35,7 @@
     adopted.clear();
     outbox = {};
     reserved_ = {};
-    flying_.clear();
+    in_flight_.clear();
     granted_.clear();
     pending_ = {};
 }
@@ -53,10 +53,10 @@
     {
         pace_ = 1.0;
     }
-    while (!flying_.empty() && flying_.front().number <= report.received)
+    while (!in_flight_.empty() && in_flight_.front().number <= report.received)
     {
-        pending_.subtract(flying_.front().needs);
-        flying_.pop_front();
+        pending_.subtract(in_flight_.front().needs);
+        in_flight_.pop_front();
     }
     for (const auto number : report.granted)
         revoke(number);
@@ -84,7 +84,7 @@
     const auto known = granted_.find(number);
     if (known == granted_.end())
         return std::nullopt;
-    return now - known->second.made;
+    return now - known->second.granted_at;
 }
 
 bool agent_view::blocked(entry_number entry, instant now) const
@@ -96,7 +96,7 @@
 void agent_view::sent(const resources& needs)
 {
     reserved_ = {};
-    flying_.push_back({++batches_, needs});
+    in_flight_.push_back({++batches_, needs});
 }
 
 resources agent_view::used() const
@@ -118,27 +118,28 @@
            std::find(labels.begin(), labels.end(), label) != labels.end();
 }
 
-bool agent_view::note_end(bool bad, instant now,
-                          const health_view_settings& settings)
+bool agent_view::record_end(bool bad, instant now,
+                            const outlier_ejection_settings& settings)
 {
-    bad_share_ += settings.weight * ((bad ? 1.0 : 0.0) - bad_share_);
+    average_bad_ends_ +=
+        settings.weight * ((bad ? 1.0 : 0.0) - average_bad_ends_);
     ++ends_;
-    if (!bad && ends_ > settings.least_ends)
+    if (!bad && ends_ > settings.min_ends)
         ejections_ = 0;
-    if (!bad || ends_ < settings.least_ends ||
-        bad_share_ < settings.eject_above || ejected(now))
+    if (!bad || ends_ < settings.min_ends ||
+        average_bad_ends_ < settings.ejection_threshold || ejected(now))
         return false;
     ++ejections_;
-    ejected_until_ =
-        now + std::min(settings.eject_for * ejections_, settings.longest);
+    ejected_until_ = now + std::min(settings.base_ejection * ejections_,
+                                    settings.max_ejection);
     // On probation: one more bad end is enough, some good ones clear it.
-    bad_share_ = settings.eject_above;
+    average_bad_ends_ = settings.ejection_threshold;
     return true;
 }
 
-void agent_view::note_pace(double ratio)
+void agent_view::record_pace(double ratio)
 {
-    const double bounded = std::clamp(ratio, least_pace, most_pace);
+    const double bounded = std::clamp(ratio, min_pace, max_pace);
     pace_ += pace_weight * (bounded - pace_);
 }
 
--- a/src/glenhollow/durable/agent_view.hpp
+++ b/src/glenhollow/durable/agent_view.hpp
@@ -18,13 +18,13 @@
 {
 
 /// Limits of the judgement on a runner by the ends of its runs.
-struct health_view_settings
+struct outlier_ejection_settings
 {
-    double weight = 0.12;         ///< Of one more end in the average.
-    double eject_above = 0.45;    ///< Share of bad ends.
-    std::uint32_t least_ends = 4; ///< Before any judgement.
-    duration eject_for = milliseconds{1500}; ///< The first time.
-    duration longest = seconds{6};           ///< After repeated ejections.
+    double weight = 0.12;             ///< Of one more end in the average.
+    double ejection_threshold = 0.45; ///< Share of bad ends.
+    std::uint32_t min_ends = 4;       ///< Before any judgement.
+    duration base_ejection = milliseconds{1500}; ///< The first time.
+    duration max_ejection = seconds{6};          ///< After repeated ejections.
 };
 
 /// What an entry knows of one agent and its runner.
@@ -55,7 +55,7 @@
     void reported(const runner_report& report);
 
     /// @param until The runner is slow from its start until then.
-    void stay_cold(instant until) { cold_until_ = until; }
+    void set_cold_until(instant until) { cold_until_ = until; }
 
     /// Orders leave in one batch.
     /// @param needs What its starts take together.
@@ -102,13 +102,16 @@
     resources used() const;
 
     /// @return All its cores.
-    double cores() const { return account().capacity.cpu / per_core; }
+    double cores() const
+    {
+        return account().capacity.cpu / millicores_per_core;
+    }
 
     /// @return Those of them that nothing takes.
     double free_cores() const
     {
         const auto all = account().capacity.cpu;
-        return (all - std::min(used().cpu, all)) / per_core;
+        return (all - std::min(used().cpu, all)) / millicores_per_core;
     }
 
     /// @param needs What a task takes.
@@ -123,10 +126,11 @@
     /// @param now The time.
     /// @param settings Limits.
     /// @return Whether the runner was ejected by it.
-    bool note_end(bool bad, instant now, const health_view_settings& settings);
+    bool record_end(bool bad, instant now,
+                    const outlier_ejection_settings& settings);
 
     /// @param ratio Time of a run over its estimate.
-    void note_pace(double ratio);
+    void record_pace(double ratio);
 
     /// @param now The time.
     /// @return Whether it gets no work because of bad ends.
@@ -149,11 +153,11 @@
     std::set<part_number> adopted; ///< Parts whose runs there are known.
     order_batch outbox;            ///< Leaves with the next flush.
     bool hot = false;              ///< Much work prefers this runner.
-    bool ours = true;              ///< In the group that this entry places on.
+    bool in_own_group = true;      ///< In the group that this entry places on.
 
 private:
     /// A batch that the agent has not seen yet.
-    struct flying_batch
+    struct in_flight_batch
     {
         std::uint64_t number = 0; ///< Of the session.
         resources needs;          ///< Of its starts.
@@ -162,21 +166,21 @@
     /// Room that another entry's order will take.
     struct granted_room
     {
-        resources needs; ///< Of the task.
-        instant made{};  ///< When.
+        resources needs;      ///< Of the task.
+        instant granted_at{}; ///< When.
     };
 
-    std::string name_;                ///< Of the agent.
-    std::uint64_t tie_breaker_;       ///< Order among like ones.
-    bool linked_ = false;             ///< Its session is open.
-    runner_report report_;            ///< Its latest word.
-    std::deque<flying_batch> flying_; ///< On their way.
-    resources reserved_;              ///< In the outbox.
+    std::string name_;                      ///< Of the agent.
+    std::uint64_t tie_breaker_;             ///< Order among like ones.
+    bool linked_ = false;                   ///< Its session is open.
+    runner_report report_;                  ///< Its latest word.
+    std::deque<in_flight_batch> in_flight_; ///< On their way.
+    resources reserved_;                    ///< In the outbox.
     resources pending_; ///< In the outbox, flying or granted: these together.
     std::map<std::uint32_t, granted_room> granted_; ///< By number.
     std::map<entry_number, instant> blocked_; ///< Entries without a session.
     std::uint64_t batches_ = 0;               ///< Sent in this session.
-    double bad_share_ = 0;                    ///< Average of bad ends.
+    double average_bad_ends_ = 0;             ///< Average of bad ends.
     std::uint32_t ends_ = 0;      ///< Counted since the last ejection.
     std::uint32_t ejections_ = 0; ///< In a row.
     instant ejected_until_{};     ///< No work until then.
--- a/src/glenhollow/durable/configuration_keeper.hpp
+++ b/src/glenhollow/durable/configuration_keeper.hpp
@@ -134,13 +134,13 @@
     void ended(result<queue_catalog> read);
     void fetch_from(const std::string& peer);
 
-    dependencies around_;                     ///< What surrounds it.
-    configuration_keeper_settings settings_;  ///< Limits.
-    queue_catalog catalog_;                   ///< In force.
-    std::string document_;                    ///< Its source.
-    std::optional<arrival> reading_;          ///< Being read.
-    std::unique_ptr<catalog_reading> reader_; ///< Reads it.
-    std::optional<arrival> waiting_;          ///< To be read next.
+    dependencies around_;                    ///< What surrounds it.
+    configuration_keeper_settings settings_; ///< Limits.
+    queue_catalog catalog_;                  ///< In force.
+    std::string document_;                   ///< Its source.
+    std::optional<arrival> reading_;         ///< Being read.
+    std::unique_ptr<catalog_reader> reader_; ///< Reads it.
+    std::optional<arrival> waiting_;         ///< To be read next.
     std::size_t unreadable_ = 0; ///< Hash of the last one with a fault.
     std::map<std::string, std::uint64_t> ahead_; ///< Peers with higher ones.
     std::uint64_t highest_ = 0;                  ///< Version heard of.
--- a/src/glenhollow/durable/delegated_tasks.cpp
+++ b/src/glenhollow/durable/delegated_tasks.cpp
@@ -24,7 +24,7 @@
     job.placer = placer;
     job.begun |= task.begun;
     task.begun = job.begun;
-    work_[task.service] += work_of(task);
+    work_[task.service] += estimated_core_ms(task);
     changes_[placer].added.push_back(task);
     tasks_.insert_or_assign(key_of(ref), waiting{std::move(task), placer});
 }
@@ -53,19 +53,20 @@
     if (--job->second.waiting == 0)
         jobs_.erase(job);
     auto& work = work_[out.service];
-    work = tasks_.empty() ? 0 : work - work_of(out);
+    work = tasks_.empty() ? 0 : work - estimated_core_ms(out);
     return out;
 }
 
 /// A task that the placer has not been told of need not be withdrawn.
-void delegated_tasks::tell_withdrawn(placer_number placer, const task_ref& task)
+void delegated_tasks::queue_withdrawal(placer_number placer,
+                                       const task_ref& task)
 {
-    auto& untold = changes_[placer];
-    const auto dropped =
-        std::erase_if(untold.added, [&task](const ready_task& one)
+    auto& changes = changes_[placer];
+    const auto removed =
+        std::erase_if(changes.added, [&task](const ready_task& one)
                       { return one.task == task; });
-    if (dropped == 0)
-        untold.withdrawn.push_back(task);
+    if (removed == 0)
+        changes.withdrawn.push_back(task);
 }
 
 void delegated_tasks::withdraw(const task_ref& task)
@@ -73,7 +74,7 @@
     const auto known = tasks_.find(key_of(task));
     if (known == tasks_.end())
         return;
-    tell_withdrawn(known->second.placer, task);
+    queue_withdrawal(known->second.placer, task);
     remove(task);
 }
 
@@ -81,17 +82,17 @@
 {
     const auto placer = tasks_.at(key_of(task)).placer;
     if (placer != by)
-        tell_withdrawn(placer, task);
+        queue_withdrawal(placer, task);
     return remove(task);
 }
 
-void delegated_tasks::want_again(const task_ref& task)
+void delegated_tasks::requeue(const task_ref& task)
 {
     const auto& known = tasks_.at(key_of(task));
     changes_[known.placer].added.push_back(known.task);
 }
 
-void delegated_tasks::note_begun(job_id job)
+void delegated_tasks::mark_begun(job_id job)
 {
     const auto known = jobs_.find(job);
     if (known != jobs_.end())
@@ -116,13 +117,13 @@
 
 void delegated_tasks::release(part_number part)
 {
-    std::vector<task_ref> dropped;
+    std::vector<task_ref> removed;
     for (const auto& [key, one] : tasks_)
     {
         if (one.task.part == part)
-            dropped.push_back(key.task);
+            removed.push_back(key.task);
     }
-    for (const auto& task : dropped)
+    for (const auto& task : removed)
         withdraw(task);
 }
 
--- a/src/glenhollow/durable/delegated_tasks.hpp
+++ b/src/glenhollow/durable/delegated_tasks.hpp
@@ -43,10 +43,10 @@
     /// The placer has dropped a task for which it had found a place that could
     /// not be used, and has to be told of it again.
     /// @param task Waits at a placer.
-    void want_again(const task_ref& task);
+    void requeue(const task_ref& task);
 
     /// @param job Others of its tasks were placed.
-    void note_begun(job_id job);
+    void mark_begun(job_id job);
 
     /// The placer's session is over.
     /// @param placer Which.
@@ -84,7 +84,7 @@
     };
 
     ready_task remove(const task_ref& task);
-    void tell_withdrawn(placer_number placer, const task_ref& task);
+    void queue_withdrawal(placer_number placer, const task_ref& task);
 
     std::unordered_map<run_ref, waiting, run_ref_hash> tasks_; ///< By task;
                                                                ///< run 0.
--- a/src/glenhollow/durable/dispatcher.cpp
+++ b/src/glenhollow/durable/dispatcher.cpp
@@ -13,15 +13,16 @@
 namespace
 {
 
-constexpr double micros_a_ms = 1000.0;
-constexpr double classes_of_pace = 2.0; // For a factor of two.
-constexpr double quarters = 4.0;
+constexpr double micros_per_ms = 1000.0;
+constexpr double pace_classes_per_doubling = 2.0; // For a factor of two.
+constexpr double taken_classes = 4.0;
 
 /// Classes are wide enough that servers of one speed mostly share theirs, and
 /// 1 lies in the middle of one.
-int class_of(double pace)
+int pace_class(double pace)
 {
-    return static_cast<int>(std::lround(std::log2(pace) * classes_of_pace));
+    return static_cast<int>(
+        std::lround(std::log2(pace) * pace_classes_per_doubling));
 }
 
 bool is_bad(run_outcome outcome)
@@ -44,20 +45,20 @@
         agents_.try_emplace(agent, agent, tie_breakers_());
     if (is_new)
     {
-        known->second.ours = !takes_ || takes_(agent);
-        list_own_agents();
+        known->second.in_own_group = !in_group_ || in_group_(agent);
+        update_own_agents();
     }
     known->second.attached(report);
-    known->second.stay_cold(clock_.now() + report.room.cold);
+    known->second.set_cold_until(clock_.now() + report.room.cold);
 }
 
 /// The placing of each task walks over these alone.
-void dispatcher::list_own_agents()
+void dispatcher::update_own_agents()
 {
     own_agents_.clear();
     for (auto& [name, agent] : agents_)
     {
-        if (agent.ours)
+        if (agent.in_own_group)
             own_agents_.push_back(&agent);
     }
 }
@@ -72,7 +73,7 @@
 void dispatcher::forget(const std::string& agent)
 {
     agents_.erase(agent);
-    list_own_agents();
+    update_own_agents();
 }
 
 void dispatcher::adopted(const std::string& agent, part_number part)
@@ -105,16 +106,16 @@
     const auto known = agents_.find(agent);
     if (known == agents_.end() || !known->second.linked())
         return;
-    note_grant_time(known->second, report.granted);
+    record_grant_delay(known->second, report.granted);
     const bool was_leaving = known->second.leaving();
     known->second.reported(report);
-    known->second.stay_cold(clock_.now() + report.room.cold);
+    known->second.set_cold_until(clock_.now() + report.room.cold);
     if (known->second.leaving() && !was_leaving)
         ++stats_.leaving;
 }
 
-void dispatcher::note_end(const std::string& agent, const run_end& end,
-                          const job_step& step)
+void dispatcher::record_end(const std::string& agent, const run_end& end,
+                            const job_step& step)
 {
     const auto known = agents_.find(agent);
     if (known == agents_.end())
@@ -128,12 +129,12 @@
         return;
     if (end.outcome == run_outcome::done && expected_ms > 0 &&
         !view.cold(clock_.now()))
-        view.note_pace(end.duration_us / (micros_a_ms * expected_ms));
+        view.record_pace(end.duration_us / (micros_per_ms * expected_ms));
     if (end.outcome != run_outcome::done && !is_bad(end.outcome))
         return;
-    if (view.note_end(is_bad(end.outcome), clock_.now(), settings_.health))
+    if (view.record_end(is_bad(end.outcome), clock_.now(), settings_.ejection))
         log_change(log_level::warning, "runner_ejected",
-                   {{"agent", agent}, {"last_end", to_name(end.outcome)}});
+                   {{"agent", agent}, {"last_outcome", to_name(end.outcome)}});
 }
 
 void dispatcher::enqueue(ready_task task)
@@ -150,9 +151,10 @@
 
 void dispatcher::enqueue_here(ready_task task)
 {
-    foreign_ += task.entry == 0 ? 0 : 1;
+    foreign_waiting_ += task.entry == 0 ? 0 : 1;
     if (!task.preferred_label.empty())
-        demand_.add(task.preferred_label, work_of(task), clock_.now());
+        demand_.add(task.preferred_label, estimated_core_ms(task),
+                    clock_.now());
     const queue_key key{queue_class::in_time, task.start_by, ++sequence_};
     insert(key, std::move(task));
 }
@@ -162,8 +164,8 @@
     auto& queue = queues_[task.service];
     if (is_in_time(key.rank))
     {
-        queue.work += work_of(task);
-        queue.own_work += task.entry == 0 ? work_of(task) : 0;
+        queue.work += estimated_core_ms(task);
+        queue.own_work += task.entry == 0 ? estimated_core_ms(task) : 0;
     }
     auto& job = queue.jobs[job_key(task)];
     ++job.waiting;
@@ -181,8 +183,8 @@
     const auto& task = known->second;
     if (is_in_time(key.rank))
     {
-        queue.work -= work_of(task);
-        queue.own_work -= task.entry == 0 ? work_of(task) : 0;
+        queue.work -= estimated_core_ms(task);
+        queue.own_work -= task.entry == 0 ? estimated_core_ms(task) : 0;
     }
     const auto job = queue.jobs.find(job_key(task));
     if (--job->second.waiting == 0)
@@ -202,7 +204,7 @@
     if (known == by_task_.end())
         return;
     const auto [service, key] = known->second;
-    foreign_ -= entry == 0 ? 0 : 1;
+    foreign_waiting_ -= entry == 0 ? 0 : 1;
     remove(service, key);
 }
 
@@ -285,18 +287,18 @@
     out.cold = agent.cold(clock_.now());
     const double longer = out.far ? settings_.far_factor : 1.0;
     if (settings_.order == server_order::earliest_end)
-        out.end = class_of(agent.pace() * longer);
+        out.end = pace_class(agent.pace() * longer);
     else
-        out.slowness = class_of(agent.pace());
-    out.taken = static_cast<int>(taken * quarters);
+        out.slowness = pace_class(agent.pace());
+    out.taken = static_cast<int>(taken * taken_classes);
     out.tie_breaker = agent.tie_breaker();
     return out;
 }
 
 /// Far from its data a task takes longer, and takes room from others for so
 /// long: only if it ends in time there all the same, or is late anyway.
-bool dispatcher::worth_going_far(const agent_view& agent, const rank& far,
-                                 const ready_task& task) const
+bool dispatcher::is_far_acceptable(const agent_view& agent, const rank& far,
+                                   const ready_task& task) const
 {
     if (far.crowded)
         return false;
@@ -314,26 +316,26 @@
 std::vector<agent_view*>
 dispatcher::agents_with_room(const service_queue& queue)
 {
-    std::vector<agent_view*> roomy;
+    std::vector<agent_view*> available;
     if (queue.cpu_needs.empty())
-        return roomy;
+        return available;
     const resources least{*queue.cpu_needs.begin(), 0, 0};
     for (auto* agent : own_agents_)
     {
         if (agent->linked() && agent->has_room(least))
-            roomy.push_back(agent);
+            available.push_back(agent);
     }
-    return roomy;
+    return available;
 }
 
 /// The quickest runner with room to spare; among like ones the emptiest; among
 /// those, each entry has an order of its own, lest all go to one at once.
 agent_view* dispatcher::choose(const ready_task& task,
-                               const std::vector<agent_view*>& roomy)
+                               const std::vector<agent_view*>& available)
 {
     agent_view* best = nullptr;
     rank best_rank;
-    for (auto* agent : roomy)
+    for (auto* agent : available)
     {
         if (!agent->has_room(task.needs) || !can_order(*agent, task))
             continue;
@@ -349,7 +351,7 @@
     if (best_rank.ejected && ready_cores(task.service) > 0)
         return nullptr;
     if (best_rank.far && has_near_agent(task) &&
-        !worth_going_far(*best, best_rank, task))
+        !is_far_acceptable(*best, best_rank, task))
         return nullptr;
     if (best_rank.far)
         ++stats_.far;
@@ -367,7 +369,7 @@
                        {
                            const auto& agent = one.second;
                            return agent.has_label(task.preferred_label) &&
-                                  !agent.ejected(now) && agent.ours &&
+                                  !agent.ejected(now) && agent.in_own_group &&
                                   can_order(agent, task);
                        });
 }
@@ -376,21 +378,21 @@
 void dispatcher::mark_hot()
 {
     const auto now = clock_.now();
-    demand_.forget_old(now);
-    if (demand_.empty() && !some_hot_)
+    demand_.remove_negligible(now);
+    if (demand_.empty() && !any_hot_)
         return;
-    some_hot_ = !demand_.empty();
+    any_hot_ = !demand_.empty();
     for (auto& [name, agent] : agents_)
         agent.hot = false;
-    if (!some_hot_)
+    if (!any_hot_)
         return;
     // Every owner sees its own share of the work, but for a placer.
-    const double share = foreign_ > 0 ? 1.0 : owners();
+    const double share = foreign_waiting_ > 0 ? 1.0 : owners();
     std::map<std::string, double> cores;
     for (const auto& [name, agent] : agents_)
     {
         // One that takes no work has no room to leave to others.
-        if (!agent.ours || agent.account().phase != runner_phase::ready)
+        if (!agent.in_own_group || agent.account().phase != runner_phase::ready)
             continue;
         for (const auto& label : agent.account().labels)
             cores[label] += agent.cores();
@@ -403,7 +405,8 @@
     }
 }
 
-bool dispatcher::alike(const ready_task& task, const ready_task& unplaced) const
+bool dispatcher::is_no_easier(const ready_task& task,
+                              const ready_task& unplaced) const
 {
     const bool both_foreign = task.entry != 0 && unplaced.entry != 0;
     const bool same_reach = task.entry == unplaced.entry ||
@@ -426,34 +429,37 @@
 
 void dispatcher::place(service_queue& queue)
 {
-    put_late_last(queue);
-    const auto roomy = agents_with_room(queue);
-    if (roomy.empty())
+    separate_late_tasks(queue);
+    const auto available = agents_with_room(queue);
+    if (available.empty())
     {
-        stats_.no_place += queue.tasks.empty() ? 0 : 1;
+        stats_.rounds_without_room += queue.tasks.empty() ? 0 : 1;
         return;
     }
-    std::vector<ready_task> unplaced; // A task of each kind that fits nowhere.
-    std::vector<queue_key> stuck;     // Of jobs that have begun.
-    std::optional<double> for_late;   // Cores that late tasks may take.
+    std::vector<ready_task> unplaced;  // A task of each kind that fits nowhere.
+    std::vector<queue_key> to_promote; // Of jobs that have begun.
+    std::optional<double>
+        cores_left_for_late; // Cores that late tasks may take.
     auto at = queue.tasks.begin();
-    while (at != queue.tasks.end() && unplaced.size() < settings_.scan)
+    while (at != queue.tasks.end() &&
+           unplaced.size() < settings_.max_unplaceable)
     {
         const auto here = at++;
         const auto& waiting = here->second;
         const bool late = here->first.rank == queue_class::late;
-        if (late && !for_late) // All in time have had their turn.
-            for_late = cores_for_late(waiting.service);
-        if (late && waiting.needs.cpu / per_core > *for_late)
+        if (late && !cores_left_for_late) // All in time have had their turn.
+            cores_left_for_late = cores_for_late(waiting.service);
+        if (late &&
+            waiting.needs.cpu / millicores_per_core > *cores_left_for_late)
             break; // Nor may those behind it.
         if (here->first.rank == queue_class::in_time &&
             queue.jobs.at(job_key(waiting)).begun)
-            stuck.push_back(here->first); // Unless it is placed below.
+            to_promote.push_back(here->first); // Unless it is placed below.
         if (std::any_of(unplaced.begin(), unplaced.end(),
                         [this, &waiting](const ready_task& one)
-                        { return alike(waiting, one); }))
+                        { return is_no_easier(waiting, one); }))
             continue;
-        auto* agent = choose(waiting, roomy);
+        auto* agent = choose(waiting, available);
         if (agent == nullptr)
         {
             unplaced.push_back(waiting);
@@ -461,28 +467,28 @@
         }
         const auto key = here->first;
         const auto task = waiting;
-        if (!stuck.empty() && stuck.back() == key)
-            stuck.pop_back();
+        if (!to_promote.empty() && to_promote.back() == key)
+            to_promote.pop_back();
         queue.jobs.at(job_key(task)).begun = true;
-        queue.rate.placed(work_of(task));
+        queue.rate.placed(estimated_core_ms(task));
         if (late)
-            *for_late -= task.needs.cpu / per_core;
-        foreign_ -= task.entry == 0 ? 0 : 1;
+            *cores_left_for_late -= task.needs.cpu / millicores_per_core;
+        foreign_waiting_ -= task.entry == 0 ? 0 : 1;
         remove(task.service, key);
         if (task.entry != 0)
             grant(task, *agent);
         else
-            begin_at(task, *agent, 0, 0);
+            order_start(task, *agent, 0, 0);
     }
-    raise(queue, stuck);
+    promote(queue, to_promote);
     if (!unplaced.empty())
-        ++stats_.no_place;
+        ++stats_.rounds_without_room;
 }
 
 /// @param grant Number of the placer's grant; 0: this entry chose the agent.
 /// @return Whether the task was still to be run.
-bool dispatcher::begin_at(const ready_task& task, agent_view& agent,
-                          std::uint64_t placer, std::uint32_t grant)
+bool dispatcher::order_start(const ready_task& task, agent_view& agent,
+                             std::uint64_t placer, std::uint32_t grant)
 {
     auto order = tasks_.assign(task, agent.name());
     if (!order)
@@ -504,8 +510,8 @@
     review();
     for (auto& [service, queue] : queues_)
         place(queue);
-    for (auto& [entry, grants] : std::exchange(granted_, {}))
-        grants_->grant(entry, std::move(grants));
+    for (auto& [entry, grants] : std::exchange(unsent_grants_, {}))
+        grant_sender_->grant(entry, std::move(grants));
     flush();
 }
 
@@ -538,14 +544,16 @@
     if (known == queues_.end())
         return delegated * owners();
     // Every entry has its own share of the work, but for a placer's.
-    return foreign_ > 0 ? known->second.work
-                        : (known->second.own_work + delegated) * owners();
+    return foreign_waiting_ > 0
+               ? known->second.work
+               : (known->second.own_work + delegated) * owners();
 }
 
-bool dispatcher::takes_work(const agent_view& agent,
-                            const std::string& service) const
+bool dispatcher::accepts_work(const agent_view& agent,
+                              const std::string& service) const
 {
-    return agent.ours && agent.linked() && agent.account().service == service &&
+    return agent.in_own_group && agent.linked() &&
+           agent.account().service == service &&
            agent.account().phase == runner_phase::ready &&
            !agent.ejected(clock_.now());
 }
@@ -555,7 +563,7 @@
     double cores = 0;
     for (const auto* agent : own_agents_)
     {
-        if (takes_work(*agent, service))
+        if (accepts_work(*agent, service))
             cores += agent->cores();
     }
     return cores;
@@ -566,7 +574,7 @@
     double cores = 0;
     for (const auto* agent : own_agents_)
     {
-        if (takes_work(*agent, service))
+        if (accepts_work(*agent, service))
             cores += agent->free_cores();
     }
     return cores;
--- a/src/glenhollow/durable/dispatcher.hpp
+++ b/src/glenhollow/durable/dispatcher.hpp
@@ -140,29 +140,33 @@
                                 ///< overload; a tenth of a short task's slack.
     double late_reserve = 0.15; ///< Share of a service's cores that must be
                                 ///< free before a late job begins.
-    std::size_t scan = 64;      ///< Tasks looked at past one that fits nowhere.
-    health_view_settings health; ///< Judgement on runners.
-    std::uint64_t seed = 1;      ///< Of this entry's order of like runners.
-    duration grant_time = milliseconds{150}; ///< A grant's order must have
-                                             ///< come by then: some ten times
-                                             ///< of what it takes when idle.
-    duration most_grant_lag = milliseconds{30}; ///< Of the time that an order
-                                                ///< takes, this much at most
-                                                ///< is planned for: a third of
-                                                ///< a short task's slack.
-    duration block_time = milliseconds{300};    ///< An entry without a session
-                                             ///< gets no grants there so long;
-                                             ///< about one try to connect.
+    std::size_t max_unplaceable =
+        64; ///< Tasks looked at past one that fits nowhere.
+    outlier_ejection_settings ejection; ///< Judgement on runners.
+    std::uint64_t seed = 1; ///< Of this entry's order of like runners.
+    duration grant_timeout =
+        milliseconds{150}; ///< A grant's order must have
+                           ///< come by then: some ten times
+                           ///< of what it takes when idle.
+    duration max_grant_delay = milliseconds{30}; ///< Of the time that an order
+                                                 ///< takes, this much at most
+                                                 ///< is planned for: a third of
+                                                 ///< a short task's slack.
+    duration block_duration =
+        milliseconds{300}; ///< An entry without a session
+                           ///< gets no grants there so long;
+                           ///< about one try to connect.
 };
 
 /// Counters of a dispatcher.
 struct dispatcher_stats
 {
-    std::uint64_t placed = 0;   ///< Orders to start.
-    std::uint64_t stopped = 0;  ///< Orders to stop.
-    std::uint64_t batches = 0;  ///< Messages to agents.
-    std::uint64_t late = 0;     ///< Tasks put behind those in time.
-    std::uint64_t no_place = 0; ///< Rounds that ended for want of room.
+    std::uint64_t placed = 0;  ///< Orders to start.
+    std::uint64_t stopped = 0; ///< Orders to stop.
+    std::uint64_t batches = 0; ///< Messages to agents.
+    std::uint64_t late = 0;    ///< Tasks put behind those in time.
+    std::uint64_t rounds_without_room =
+        0;                      ///< Rounds that ended for want of room.
     std::uint64_t far = 0;      ///< Placed without the preferred label.
     std::uint64_t cold = 0;     ///< Placed at a server slow from its start.
     std::uint64_t leaving = 0;  ///< Notices of servers that leave.
@@ -207,8 +211,8 @@
     /// @param agent Where a run ended.
     /// @param end How.
     /// @param step Of its task.
-    void note_end(const std::string& agent, const run_end& end,
-                  const job_step& step);
+    void record_end(const std::string& agent, const run_end& end,
+                    const job_step& step);
 
     /// @param task May start.
     void enqueue(ready_task task);
@@ -219,7 +223,7 @@
 
     /// Tasks of other entries are placed here as well.
     /// @param grants Told of their places; outlives the dispatcher.
-    void serve(grant_sender* grants) { grants_ = grants; }
+    void set_grant_sender(grant_sender* grants) { grant_sender_ = grants; }
 
     /// @param entry Another entry, whose tasks are all dropped.
     void drop_entry(entry_number entry);
@@ -230,7 +234,10 @@
 
     /// @param selector Chooses who places this entry's tasks; null: this entry
     /// places them all. Outlives the dispatcher.
-    void delegate_by(placer_selector* selector) { selector_ = selector; }
+    void set_placer_selector(placer_selector* selector)
+    {
+        selector_ = selector;
+    }
 
     /// A placer can be chosen from now on: tasks that wait here may move.
     void redistribute();
@@ -248,11 +255,12 @@
     /// @param grant A place for a task of this entry.
     /// @param by The placer that found it.
     /// @return What became of it.
-    grant_verdict use(const task_grant& grant, const granting_placer& by);
+    grant_verdict apply_grant(const task_grant& grant,
+                              const granting_placer& by);
 
     /// @param takes Tells of an agent, by name, whether this entry places tasks
     /// there; the others are left to other placers.
-    void place_only_at(std::function<bool(const std::string&)> takes);
+    void place_only_at(std::function<bool(const std::string&)> in_group);
 
     /// @return What is known here, by service.
     std::map<std::string, placement_load> loads() const;
@@ -370,41 +378,42 @@
 
     rank rank_of(const agent_view& agent, const ready_task& task) const;
     bool can_order(const agent_view& agent, const ready_task& task) const;
-    bool worth_going_far(const agent_view& agent, const rank& far,
-                         const ready_task& task) const;
+    bool is_far_acceptable(const agent_view& agent, const rank& far,
+                           const ready_task& task) const;
     std::vector<agent_view*> agents_with_room(const service_queue& queue);
     agent_view* choose(const ready_task& task,
-                       const std::vector<agent_view*>& roomy);
+                       const std::vector<agent_view*>& available);
     bool has_near_agent(const ready_task& task) const;
     void mark_hot();
-    void list_own_agents();
-    bool alike(const ready_task& task, const ready_task& unplaced) const;
-    void note_grant_time(const agent_view& agent,
-                         const std::vector<std::uint32_t>& granted);
-    instant last_moment(const ready_task& task) const
+    void update_own_agents();
+    bool is_no_easier(const ready_task& task, const ready_task& unplaced) const;
+    void record_grant_delay(const agent_view& agent,
+                            const std::vector<std::uint32_t>& granted);
+    instant latest_start(const ready_task& task) const
     {
-        return task.start_by - grant_lag_;
+        return task.start_by - grant_delay_;
     }
     static job_id job_key(const ready_task& task);
-    bool begin_at(const ready_task& task, agent_view& agent,
-                  std::uint64_t placer, std::uint32_t grant);
+    bool order_start(const ready_task& task, agent_view& agent,
+                     std::uint64_t placer, std::uint32_t grant);
     void grant(const ready_task& task, agent_view& agent);
     placer_number placer_for(const ready_task& task);
     void enqueue_here(ready_task task);
-    void note_begun(const ready_task& task);
-    bool takes_work(const agent_view& agent, const std::string& service) const;
+    void mark_begun(const ready_task& task);
+    bool accepts_work(const agent_view& agent,
+                      const std::string& service) const;
     void place(service_queue& queue);
     void remove(const std::string& service, const queue_key& key);
     static bool is_in_time(queue_class rank)
     {
         return rank <= queue_class::in_time;
     }
-    void put_late_last(service_queue& queue);
-    void raise(service_queue& queue, const std::vector<queue_key>& keys);
+    void separate_late_tasks(service_queue& queue);
+    void promote(service_queue& queue, const std::vector<queue_key>& keys);
     double cores_for_late(const std::string& service) const;
     void demote(service_queue& queue);
     void move_to_late(service_queue& queue, const std::vector<queue_key>& keys);
-    void raise_begun(service_queue& queue);
+    void promote_late_begun(service_queue& queue);
     void review();
     void insert(const queue_key& key, ready_task task);
     agent_view* linked_agent(const std::string& name);
@@ -419,28 +428,29 @@
     dispatcher_settings settings_;             ///< Limits.
     std::map<std::string, agent_view> agents_; ///< By name.
     std::vector<agent_view*> own_agents_; ///< Those that this entry places at.
-    bool some_hot_ = false;               ///< An agent is marked so.
+    bool any_hot_ = false;                ///< An agent is marked so.
     std::map<std::string, service_queue> queues_; ///< By service.
     std::unordered_map<run_ref, std::pair<std::string, queue_key>,
                        run_ref_hash>
-        by_task_;         ///< Place of a task; its run is its entry's number.
-    label_demand demand_; ///< Work by preferred label.
-    instant reviewed_{};  ///< When the queues were last looked over.
-    random_engine tie_breakers_;     ///< Draws an order among like runners.
-    std::uint64_t sequence_ = 0;     ///< Of queue places.
-    grant_sender* grants_ = nullptr; ///< Tells other entries.
-    std::map<entry_number, std::vector<task_grant>> granted_; ///< To be told.
-    std::uint32_t grant_numbers_ = 0;    ///< Of grants so far.
-    std::deque<open_grant> open_grants_; ///< In order of their ends.
-    std::set<std::string> unsent_;       ///< Agents with orders to be sent.
-    duration grant_lag_{};    ///< Until an order has come, on average.
-    instant blocked_until_{}; ///< Some entry lacks some agent.
-    std::size_t foreign_ = 0; ///< Waiting tasks of other entries.
+        by_task_;           ///< Place of a task; its run is its entry's number.
+    label_demand demand_;   ///< Work by preferred label.
+    instant last_review_{}; ///< When the queues were last looked over.
+    random_engine tie_breakers_; ///< Draws an order among like runners.
+    std::uint64_t sequence_ = 0; ///< Of queue places.
+    grant_sender* grant_sender_ = nullptr; ///< Tells other entries.
+    std::map<entry_number, std::vector<task_grant>>
+        unsent_grants_;                   ///< To be told.
+    std::uint32_t last_grant_number_ = 0; ///< Of grants so far.
+    std::deque<open_grant> open_grants_;  ///< In order of their ends.
+    std::set<std::string> unsent_;        ///< Agents with orders to be sent.
+    duration grant_delay_{};          ///< Until an order has come, on average.
+    instant blocked_until_{};         ///< Some entry lacks some agent.
+    std::size_t foreign_waiting_ = 0; ///< Waiting tasks of other entries.
     placer_selector* selector_ = nullptr; ///< Chooses who places ours.
     delegated_tasks delegated_;           ///< Ours that wait at placers.
-    std::function<bool(const std::string&)> takes_; ///< Agents to place at.
-    std::size_t owners_ = 1;                        ///< Entries that own parts.
-    dispatcher_stats stats_;                        ///< Counters.
+    std::function<bool(const std::string&)> in_group_; ///< Agents to place at.
+    std::size_t owners_ = 1; ///< Entries that own parts.
+    dispatcher_stats stats_; ///< Counters.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/dispatcher_overload.cpp
+++ b/src/glenhollow/durable/dispatcher_overload.cpp
@@ -9,14 +9,14 @@
 namespace
 {
 
-constexpr double least_backlog = 1.0; // Core-milliseconds.
+constexpr double min_backlog_core_ms = 1.0; // Core-milliseconds.
 
 } // namespace
 
 /// A job that will miss its objective is worth the same a while later, so it
 /// must not make others miss theirs. One that has begun is finished all the
 /// same: given up, it would leave its caller without an answer.
-void dispatcher::put_late_last(service_queue& queue)
+void dispatcher::separate_late_tasks(service_queue& queue)
 {
     const auto now = clock_.now();
     std::vector<queue_key> late;
@@ -25,12 +25,12 @@
         queue.tasks.lower_bound({queue_class::in_time, instant::min(), 0});
     // The most urgent come first.
     for (; at != queue.tasks.end() && at->first.rank == queue_class::in_time &&
-           last_moment(at->second) < now;
+           latest_start(at->second) < now;
          ++at)
         (queue.jobs.at(job_key(at->second)).begun ? rest : late)
             .push_back(at->first);
     stats_.late += late.size();
-    raise(queue, rest);
+    promote(queue, rest);
     move_to_late(queue, late);
 }
 
@@ -43,8 +43,8 @@
         if (!is_in_time(key.rank))
             break;
         const auto job = job_key(task);
-        tasks.push_back({job, task.priority, last_moment(task), work_of(task),
-                         queue.jobs.at(job).begun});
+        tasks.push_back({job, task.priority, latest_start(task),
+                         estimated_core_ms(task), queue.jobs.at(job).begun});
     }
     const auto demoted =
         jobs_to_demote(tasks, queue.rate.cores(), clock_.now());
@@ -77,7 +77,7 @@
 }
 
 /// Jobs that began late are finished before others begin.
-void dispatcher::raise_begun(service_queue& queue)
+void dispatcher::promote_late_begun(service_queue& queue)
 {
     std::vector<queue_key> keys;
     const queue_key first{queue_class::late, instant::min(), 0};
@@ -94,20 +94,21 @@
 void dispatcher::review()
 {
     const auto now = clock_.now();
-    if (now - reviewed_ < settings_.review_interval)
+    if (now - last_review_ < settings_.review_interval)
         return;
-    reviewed_ = now;
+    last_review_ = now;
     mark_hot();
     for (auto& [service, queue] : queues_)
     {
-        queue.rate.review(now, queue.work >= least_backlog);
+        queue.rate.review(now, queue.work >= min_backlog_core_ms);
         demote(queue);
-        raise_begun(queue);
+        promote_late_begun(queue);
     }
 }
 
 /// The rest of a job that has begun goes before others in time.
-void dispatcher::raise(service_queue& queue, const std::vector<queue_key>& keys)
+void dispatcher::promote(service_queue& queue,
+                         const std::vector<queue_key>& keys)
 {
     for (const auto& key : keys)
     {
--- a/src/glenhollow/durable/dispatcher_sharing.cpp
+++ b/src/glenhollow/durable/dispatcher_sharing.cpp
@@ -16,11 +16,12 @@
 
 void dispatcher::grant(const ready_task& task, agent_view& agent)
 {
-    const auto number = ++grant_numbers_;
+    const auto number = ++last_grant_number_;
     const auto now = clock_.now();
     agent.grant(number, task.needs, now);
-    open_grants_.push_back({agent.name(), number, now + settings_.grant_time});
-    granted_[task.entry].push_back({task.task, agent.name(), number});
+    open_grants_.push_back(
+        {agent.name(), number, now + settings_.grant_timeout});
+    unsent_grants_[task.entry].push_back({task.task, agent.name(), number});
     ++stats_.granted;
 }
 
@@ -50,7 +51,7 @@
     }
     for (const auto& task : dropped)
         withdraw(task, entry);
-    granted_.erase(entry);
+    unsent_grants_.erase(entry);
 }
 
 void dispatcher::declined(entry_number entry, const declined_grant& grant)
@@ -62,22 +63,22 @@
     known->second.revoke(grant.number);
     if (!grant.unreachable)
         return;
-    blocked_until_ = clock_.now() + settings_.block_time;
+    blocked_until_ = clock_.now() + settings_.block_duration;
     known->second.block(entry, blocked_until_);
 }
 
 /// Under overload every task starts at its last moment, and what its order
 /// takes on the way makes it late.
-void dispatcher::note_grant_time(const agent_view& agent,
-                                 const std::vector<std::uint32_t>& granted)
+void dispatcher::record_grant_delay(const agent_view& agent,
+                                    const std::vector<std::uint32_t>& granted)
 {
     constexpr int weight = 16; // Of the newest: one sixteenth.
     for (const auto number : granted)
     {
         const auto age = agent.grant_age(number, clock_.now());
         if (age)
-            grant_lag_ +=
-                (std::min(*age, settings_.most_grant_lag) - grant_lag_) /
+            grant_delay_ +=
+                (std::min(*age, settings_.max_grant_delay) - grant_delay_) /
                 weight;
     }
 }
@@ -121,12 +122,12 @@
         enqueue(std::move(task));
 }
 
-void dispatcher::place_only_at(std::function<bool(const std::string&)> takes)
+void dispatcher::place_only_at(std::function<bool(const std::string&)> in_group)
 {
-    takes_ = std::move(takes);
+    in_group_ = std::move(in_group);
     for (auto& [name, agent] : agents_)
-        agent.ours = !takes_ || takes_(name);
-    list_own_agents();
+        agent.in_own_group = !in_group_ || in_group_(name);
+    update_own_agents();
 }
 
 std::map<std::string, placement_load> dispatcher::loads() const
@@ -135,7 +136,7 @@
     for (const auto* agent : own_agents_)
     {
         const auto& account = agent->account();
-        if (!takes_work(*agent, account.service))
+        if (!accepts_work(*agent, account.service))
             continue;
         auto& load = out[account.service];
         load.ready_cores += agent->cores();
@@ -149,8 +150,8 @@
     return out;
 }
 
-grant_verdict dispatcher::use(const task_grant& grant,
-                              const granting_placer& by)
+grant_verdict dispatcher::apply_grant(const task_grant& grant,
+                                      const granting_placer& by)
 {
     const auto here = by_task_.find(run_ref{grant.task, 0});
     const auto* waiting = delegated_.find(grant.task);
@@ -164,23 +165,23 @@
     if (agent == agents_.end() || !can_order(agent->second, wanted))
     {
         if (waiting != nullptr)
-            delegated_.want_again(grant.task); // Its placer has forgotten it.
+            delegated_.requeue(grant.task); // Its placer has forgotten it.
         return grant_verdict::unreachable;
     }
     const auto task =
         waiting != nullptr ? delegated_.take(grant.task, by.number) : wanted;
     if (waiting == nullptr)
         withdraw(grant.task);
-    note_begun(task);
-    return begin_at(task, agent->second, by.incarnation, grant.number)
+    mark_begun(task);
+    return order_start(task, agent->second, by.incarnation, grant.number)
                ? grant_verdict::used
                : grant_verdict::not_wanted;
 }
 
 /// Other tasks of its job may wait here or at a placer.
-void dispatcher::note_begun(const ready_task& task)
+void dispatcher::mark_begun(const ready_task& task)
 {
-    delegated_.note_begun(task.task.job);
+    delegated_.mark_begun(task.task.job);
     auto& jobs = queues_[task.service].jobs;
     const auto here = jobs.find(job_key(task));
     if (here != jobs.end())
--- a/src/glenhollow/durable/durable_metrics.cpp
+++ b/src/glenhollow/durable/durable_metrics.cpp
@@ -118,7 +118,7 @@
     count("server_notices_total", "Servers that told when they leave",
           placed.leaving);
     count("rounds_without_room_total", "Rounds that left tasks waiting",
-          placed.no_place);
+          placed.rounds_without_room);
     count("grants_given_total", "Places for tasks of other entries",
           placed.granted);
     count("grants_declined_total", "Of these, not used", placed.declined);
--- a/src/glenhollow/durable/durable_placement.cpp
+++ b/src/glenhollow/durable/durable_placement.cpp
@@ -12,9 +12,9 @@
 
 /// While room is told to another entry that places, this one needs it only to
 /// be ready to place by itself; so many reports a second in all.
-constexpr duration idle_room_gap = milliseconds{150};
-constexpr duration longest_idle_room_gap = seconds{2};
-constexpr double idle_room_reports = 50;
+constexpr duration min_idle_report_interval = milliseconds{150};
+constexpr duration max_idle_report_interval = seconds{2};
+constexpr double idle_reports_per_second = 50;
 
 /// Timers this late on average make an entry a bad placer; much of a short
 /// task's slack would go by. They must be well below it again to come back.
@@ -27,13 +27,13 @@
 void durable_service::note_lag(duration lag)
 {
     auto& budget = placements_.active() ? placer_reports_ : reports_;
-    budget.note_tick(lag);
+    budget.record_tick(lag);
     lag_ += (lag - lag_) / lag_weight;
     timely_ = lag_ < (timely_ ? untimely_lag : timely_lag);
 }
 
-duration durable_service::room_gap(const std::string& agent,
-                                   std::size_t agents) const
+duration durable_service::room_report_interval(const std::string& agent,
+                                               std::size_t agents) const
 {
     if (places_for_others(agent))
         return placer_reports_.gap(agents /
@@ -42,9 +42,10 @@
     if (!groups_.delegates() && !placements_.active() && !hands_all_over())
         return gap;
     const std::chrono::duration<double> share{static_cast<double>(agents) /
-                                              idle_room_reports};
+                                              idle_reports_per_second};
     return std::max(gap, std::clamp(std::chrono::duration_cast<duration>(share),
-                                    idle_room_gap, longest_idle_room_gap));
+                                    min_idle_report_interval,
+                                    max_idle_report_interval));
 }
 
 /// One entry places all tasks of a group of agents, so that the most urgent one
@@ -73,7 +74,7 @@
     const bool places =
         placements_.active() || (!groups_.delegates() && !hands_all_over());
     if (places && !std::exchange(placing_, places))
-        agents_.tell_pace();
+        agents_.send_report_pacing();
     placing_ = places;
 }
 
--- a/src/glenhollow/durable/durable_service.cpp
+++ b/src/glenhollow/durable/durable_service.cpp
@@ -71,7 +71,7 @@
 
 std::uint32_t power_of(const durable_service_settings& of)
 {
-    return static_cast<std::uint32_t>(of.power * per_core);
+    return static_cast<std::uint32_t>(of.power * millicores_per_core);
 }
 
 configuration_keeper_settings
--- a/src/glenhollow/durable/durable_service.hpp
+++ b/src/glenhollow/durable/durable_service.hpp
@@ -150,15 +150,15 @@
     }
     std::vector<part_epoch> owned_parts() const override;
     std::vector<part_epoch> renewed_parts() const override;
-    duration room_gap(const std::string& agent,
-                      std::size_t agents) const override;
+    duration room_report_interval(const std::string& agent,
+                                  std::size_t agents) const override;
     bool places_for_others(const std::string& agent) const override
     {
-        return placements_.active() && groups_.takes(agent);
+        return placements_.active() && groups_.in_own_group(agent);
     }
     bool places_at(const std::string& agent) const override
     {
-        return placements_.active() ? groups_.takes(agent)
+        return placements_.active() ? groups_.in_own_group(agent)
                                     : !groups_.delegates() && !hands_all_over();
     }
     hall_evacuation evacuation_of(const std::string& agent) const override;
--- a/src/glenhollow/durable/evacuated_halls.hpp
+++ b/src/glenhollow/durable/evacuated_halls.hpp
@@ -27,15 +27,15 @@
     void note(const std::string& hall, bool evacuated)
     {
         if (evacuated)
-            reading_.insert(hall);
+            pending_.insert(hall);
         else
-            reading_.erase(hall);
+            pending_.erase(hall);
     }
 
     /// All rows up to a version were noted.
     /// @param version The store's.
     /// @return Whether other halls are evacuated now.
-    bool complete(std::uint64_t version) { return take(version, reading_); }
+    bool complete(std::uint64_t version) { return take(version, pending_); }
 
     /// Another entry has told what it knows.
     /// @param version The store's, when it was so.
@@ -83,7 +83,7 @@
 private:
     std::uint64_t version_ = 0;     ///< Of the store.
     std::set<std::string> halls_;   ///< As of that version.
-    std::set<std::string> reading_; ///< As noted so far.
+    std::set<std::string> pending_; ///< As noted so far.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/exchange_pacing.hpp
+++ b/src/glenhollow/durable/exchange_pacing.hpp
@@ -13,7 +13,8 @@
 struct exchange_pacing_settings
 {
     duration interval = milliseconds{250}; ///< Between exchanges with one.
-    duration share = milliseconds{10};     ///< The same for each other entry:
+    duration per_peer_interval =
+        milliseconds{10};                  ///< The same for each other entry:
                                            ///< 100 a second in all, at most.
     duration silence = milliseconds{1000}; ///< Without one: not live; more
                                            ///< where exchanges are rarer.
@@ -34,7 +35,8 @@
     /// @return Between two exchanges with one of them.
     duration interval(std::size_t peers) const
     {
-        const auto shared = settings_.share * static_cast<duration::rep>(peers);
+        const auto shared =
+            settings_.per_peer_interval * static_cast<duration::rep>(peers);
         return std::max(settings_.interval, shared);
     }
 
--- a/src/glenhollow/durable/job_coordinator_ends.cpp
+++ b/src/glenhollow/durable/job_coordinator_ends.cpp
@@ -205,8 +205,8 @@
     if (end.outcome != run_outcome::not_begun)
         record.started = true;
     if (!record.pending_end_state)
-        dependencies_.task_dispatcher.note_end(agent, end,
-                                               step_of(record.job, task_index));
+        dependencies_.task_dispatcher.record_end(
+            agent, end, step_of(record.job, task_index));
     if (end.outcome == run_outcome::done)
         return on_run_succeeded(record, task_index, agent, end);
     if (end.outcome == run_outcome::failed)
--- a/src/glenhollow/durable/job_rows.cpp
+++ b/src/glenhollow/durable/job_rows.cpp
@@ -104,7 +104,7 @@
             job.max_attempts = json::value_to<std::uint32_t>(fields.at(6));
             job.accepted_ms = json::value_to<std::int64_t>(fields.at(7));
             job.objective_ms = json::value_to<std::int64_t>(fields.at(8));
-            BOOST_OUTCOME_TRYV(check_form(job));
+            BOOST_OUTCOME_TRYV(check_job_definition(job));
             return job;
         });
 }
--- a/src/glenhollow/durable/label_demand.cpp
+++ b/src/glenhollow/durable/label_demand.cpp
@@ -9,17 +9,17 @@
 {
 
 /// Time in which what has come loses all but 1/e of its weight.
-constexpr double memory_ms = 1000.0;
+constexpr double decay_ms = 1000.0;
 
-constexpr double hardly_any_core_ms = 1.0;
+constexpr double min_core_ms = 1.0;
 
 } // namespace
 
-double label_demand::decayed(const account& of, instant now)
+double label_demand::decayed(const decaying_sum& sum, instant now)
 {
     const double age_ms =
-        std::chrono::duration<double, std::milli>(now - of.at).count();
-    return of.core_ms * std::exp(-age_ms / memory_ms);
+        std::chrono::duration<double, std::milli>(now - sum.at).count();
+    return sum.core_ms * std::exp(-age_ms / decay_ms);
 }
 
 void label_demand::add(const std::string& label, double core_ms, instant now)
@@ -32,13 +32,13 @@
 double label_demand::cores(const std::string& label, instant now) const
 {
     const auto known = labels_.find(label);
-    return known == labels_.end() ? 0 : decayed(known->second, now) / memory_ms;
+    return known == labels_.end() ? 0 : decayed(known->second, now) / decay_ms;
 }
 
-void label_demand::forget_old(instant now)
+void label_demand::remove_negligible(instant now)
 {
     std::erase_if(labels_, [now](const auto& one)
-                  { return decayed(one.second, now) < hardly_any_core_ms; });
+                  { return decayed(one.second, now) < min_core_ms; });
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/label_demand.hpp
+++ b/src/glenhollow/durable/label_demand.hpp
@@ -29,19 +29,19 @@
 
     /// Forgets labels that hardly any work prefers.
     /// @param now The time.
-    void forget_old(instant now);
+    void remove_negligible(instant now);
 
 private:
     /// A decaying sum.
-    struct account
+    struct decaying_sum
     {
         double core_ms = 0; ///< At the time below.
         instant at{};       ///< Of the last change.
     };
 
-    static double decayed(const account& of, instant now);
+    static double decayed(const decaying_sum& sum, instant now);
 
-    std::map<std::string, account> labels_; ///< By label.
+    std::map<std::string, decaying_sum> labels_; ///< By label.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/margins.hpp
+++ b/src/glenhollow/durable/lease_timing.hpp
@@ -1,5 +1,5 @@
-#ifndef GLENHOLLOW_DURABLE_MARGINS_HPP
-#define GLENHOLLOW_DURABLE_MARGINS_HPP
+#ifndef GLENHOLLOW_DURABLE_LEASE_TIMING_HPP
+#define GLENHOLLOW_DURABLE_LEASE_TIMING_HPP
 
 #include "glenhollow/core/clock.hpp"
 #include "glenhollow/core/result.hpp"
@@ -9,7 +9,7 @@
 
 /// The times that "one run of a task at once" rests on. Each is measured on the
 /// clock of the process named; docs/design/margins.md says what covers what.
-struct margin_settings
+struct lease_timing
 {
     duration hold{};         ///< Of a backend server, asked for by its agent.
     duration memory_lease{}; ///< Of an entry's jobs in memory, at an agent.
@@ -20,28 +20,28 @@
     duration part_silence{};   ///< An owner gives up an agent's kept runs.
     duration cancel_lapse{};   ///< Nothing runs any more in memory of an entry
                                ///< that was silent so long.
-    duration claim_word{};     ///< An owner renews on a word so old.
-    duration callers_wait{};   ///< Before a caller without an answer asks
-                               ///< another entry.
+    duration claim_evidence_age{}; ///< An owner renews on a word so old.
+    duration callers_wait{};       ///< Before a caller without an answer asks
+                                   ///< another entry.
 };
 
 /// Two steady clocks differ by this share at most.
-inline constexpr double margin_drift = 0.02;
+inline constexpr double max_clock_drift = 0.02;
 
 /// @param length On one clock.
 /// @return The longest that it may be on another one.
-constexpr duration longest_elsewhere(duration length)
+constexpr duration max_on_other_clock(duration length)
 {
     return duration{static_cast<duration::rep>(
-        static_cast<double>(length.count()) / (1 - margin_drift))};
+        static_cast<double>(length.count()) / (1 - max_clock_drift))};
 }
 
 /// @param length On one clock.
 /// @return The shortest that it may be on another one.
-constexpr duration shortest_elsewhere(duration length)
+constexpr duration min_on_other_clock(duration length)
 {
     return duration{static_cast<duration::rep>(
-        static_cast<double>(length.count()) * (1 - margin_drift))};
+        static_cast<double>(length.count()) * (1 - max_clock_drift))};
 }
 
 /// @param lease Of a holder, at an agent.
@@ -49,18 +49,19 @@
 /// @return How long a run goes on after its holder's last word, also if its
 /// agent stands still from then on: the hold ends with the lease and the time
 /// to stop, by the agent's clock; the server's may be slow against that.
-constexpr duration longest_run_past(duration lease, const margin_settings& of)
+constexpr duration max_run_past_lease(duration lease,
+                                      const lease_timing& timing)
 {
-    return longest_elsewhere(lease + of.stop_time) +
-           (longest_elsewhere(of.hold) - of.hold);
+    return max_on_other_clock(lease + timing.stop_time) +
+           (max_on_other_clock(timing.hold) - timing.hold);
 }
 
 /// @return The times that the defaults of all parts come to.
-margin_settings default_margins();
+lease_timing default_lease_timing();
 
 /// @param of The times as they are set.
 /// @return What does not hold, naming both settings; nothing where all do.
-result<void> check_margins(const margin_settings& of);
+result<void> check_lease_timing(const lease_timing& timing);
 
 } // namespace glenhollow
 
--- a/src/glenhollow/durable/overload_plan.cpp
+++ b/src/glenhollow/durable/overload_plan.cpp
@@ -36,7 +36,7 @@
         return demoted;
     std::unordered_map<job_id, double> work; // Before the task in question.
     std::priority_queue<candidate> candidates;
-    double before = 0;
+    double work_before = 0;
     for (const auto& task : tasks)
     {
         if (demoted.contains(task.job))
@@ -47,17 +47,18 @@
         const double slack_ms =
             std::chrono::duration<double, std::milli>(task.start_by - now)
                 .count();
-        while (before > slack_ms * cores && !candidates.empty())
+        while (work_before > slack_ms * cores && !candidates.empty())
         {
             const auto victim = candidates.top().job;
             candidates.pop();
             demoted.insert(victim);
-            before -= work[victim] - (victim == task.job ? task.core_ms : 0);
+            work_before -=
+                work[victim] - (victim == task.job ? task.core_ms : 0);
             if (victim == task.job)
                 break;
         }
         if (!demoted.contains(task.job))
-            before += task.core_ms;
+            work_before += task.core_ms;
     }
     return demoted;
 }
--- a/src/glenhollow/durable/placement_client.cpp
+++ b/src/glenhollow/durable/placement_client.cpp
@@ -14,7 +14,7 @@
 {
 public:
     grant_server(placement_client& client, std::uint64_t number)
-        : client_(client), alive_(client.alive_), number_(number)
+        : client_(client), alive_(client.alive_), session_number_(number)
     {
     }
 
@@ -25,23 +25,24 @@
         std::vector<task_grant> grants;
         for (auto one : context.getParams().getGrants())
             grants.push_back(from_wire(one));
-        client_.granted(number_, grants);
+        client_.granted(session_number_, grants);
         return kj::READY_NOW;
     }
 
 private:
-    placement_client& client_;    ///< Not used after its end.
-    std::shared_ptr<bool> alive_; ///< Whether it has not ended.
-    std::uint64_t number_;        ///< Of the session.
+    placement_client& client_;     ///< Not used after its end.
+    std::shared_ptr<bool> alive_;  ///< Whether it has not ended.
+    std::uint64_t session_number_; ///< Of the session.
 };
 
 placement_client::placement_client(const clock_source& clock,
-                                   entry_peers& peers, dispatcher& placing,
+                                   entry_peers& peers, dispatcher& queue,
                                    std::function<void()> on_change,
                                    placer_number number,
                                    const placement_client_settings& settings)
-    : clock_(clock), peers_(peers), placing_(placing),
-      on_change_(std::move(on_change)), settings_(settings), slot_(number)
+    : clock_(clock), peers_(peers), queue_(queue),
+      on_change_(std::move(on_change)), settings_(settings),
+      placer_number_(number)
 {
 }
 
@@ -55,21 +56,21 @@
     if (placer != placer_)
     {
         if (session_)
-            leave("another_placer");
+            leave_placer("another_placer");
         opening_ = false;
-        ++number_;
+        ++session_number_;
         placer_ = placer;
         retry_at_ = avoids(placer) ? failed_until_ : instant{};
     }
     if (opening_ && clock_.now() - opening_since_ > settings_.retry)
         opening_ = false; // Its link is gone, or it is silent.
     if (!placer_.empty() && !session_ && !opening_ && clock_.now() >= retry_at_)
-        begin();
+        open_session();
 }
 
-void placement_client::begin()
+void placement_client::open_session()
 {
-    const auto number = ++number_;
+    const auto number = ++session_number_;
     opening_ = peers_.open_placement(
         placer_, settings_.entry, settings_.incarnation,
         kj::heap<grant_server>(*this, number),
@@ -85,16 +86,16 @@
 void placement_client::opened(std::uint64_t number, std::uint64_t incarnation,
                               wire::PlacementSession::Client orders)
 {
-    if (number != number_)
+    if (number != session_number_)
         return; // Given up meanwhile.
     opening_ = false;
     session_.reset(new session{kj::mv(orders), incarnation, {}, {}, {}});
     declined_.clear();
     log_change(log_level::info, "placer_followed", {{"entry", placer_}});
-    placing_.redistribute();
-    want_message first;
+    queue_.redistribute();
+    placement_update first;
     first.restart = true;
-    first.changes = placing_.take_changes(slot_);
+    first.changes = queue_.take_changes(placer_number_);
     send(std::move(first));
 }
 
@@ -114,23 +115,23 @@
 /// A slow placer is told from a dead one by what its answers took before.
 duration placement_client::patience() const
 {
-    constexpr int spreads = 4; // As TCP's timer of retransmission.
-    return std::clamp(answer_time_ + spreads * answer_spread_,
-                      settings_.patience, settings_.longest_patience);
+    constexpr int deviations = 4; // As TCP's timer of retransmission.
+    return std::clamp(answer_time_ + deviations * answer_deviation_,
+                      settings_.patience, settings_.max_answer_timeout);
 }
 
-void placement_client::send(want_message message)
+void placement_client::send(placement_update message)
 {
     auto request = session_->orders.wantRequest();
     fill(request, message, clock_.now());
-    session_->out.push_back(clock_.now());
+    session_->unanswered.push_back(clock_.now());
     ++stats_.messages;
     session_->calls.add(request.send().then(
-        [this, number = number_](auto&& answer)
+        [this, number = session_number_](auto&& answer)
         { answered(number, from_wire(answer)); },
-        [this, alive = alive_, number = number_](kj::Exception&&)
+        [this, alive = alive_, number = session_number_](kj::Exception&&)
         {
-            if (*alive && number == number_)
+            if (*alive && number == session_number_)
                 on_change_(); // Not from inside its own call: see flush().
         }));
 }
@@ -139,14 +140,14 @@
                                 std::map<std::string, placement_load> loads)
 {
     constexpr int weight = 8; // Of the newest: one eighth.
-    if (number != number_ || !session_ || session_->out.empty())
+    if (number != session_number_ || !session_ || session_->unanswered.empty())
         return;
-    const duration took = clock_.now() - session_->out.front();
-    session_->out.pop_front();
+    const duration took = clock_.now() - session_->unanswered.front();
+    session_->unanswered.pop_front();
     session_->loads = std::move(loads);
-    const auto off =
+    const auto deviation =
         took > answer_time_ ? took - answer_time_ : answer_time_ - took;
-    answer_spread_ += (off - answer_spread_) / weight;
+    answer_deviation_ += (deviation - answer_deviation_) / weight;
     answer_time_ += (took - answer_time_) / weight;
 }
 
@@ -154,17 +155,18 @@
 {
     if (!session_)
         return;
-    const bool silent = !session_->out.empty() &&
-                        clock_.now() - session_->out.front() > patience();
+    const bool silent =
+        !session_->unanswered.empty() &&
+        clock_.now() - session_->unanswered.front() > patience();
     if (silent || !peers_.connected(placer_))
     {
         ++stats_.failures;
         failed_ = placer_;
-        failed_until_ = clock_.now() + settings_.avoid;
-        return leave(silent ? "silent" : "link_down");
+        failed_until_ = clock_.now() + settings_.failure_backoff;
+        return leave_placer(silent ? "silent" : "link_down");
     }
-    want_message message;
-    message.changes = placing_.take_changes(slot_);
+    placement_update message;
+    message.changes = queue_.take_changes(placer_number_);
     message.declined = std::exchange(declined_, {});
     if (!message.empty())
         send(std::move(message));
@@ -173,13 +175,13 @@
 void placement_client::granted(std::uint64_t number,
                                const std::vector<task_grant>& grants)
 {
-    if (number != number_ || !session_)
+    if (number != session_number_ || !session_)
         return;
     stats_.grants += grants.size();
     for (const auto& grant : grants)
     {
         const auto verdict =
-            placing_.use(grant, {slot_, session_->incarnation});
+            queue_.apply_grant(grant, {placer_number_, session_->incarnation});
         if (verdict == grant_verdict::used)
             continue;
         ++stats_.unused;
@@ -189,12 +191,12 @@
     on_change_();
 }
 
-void placement_client::leave(std::string_view cause)
+void placement_client::leave_placer(std::string_view cause)
 {
     log_change(log_level::warning, "placer_left",
                {{"entry", placer_}, {"cause", cause}});
     retry_at_ = clock_.now() + settings_.retry;
-    ++number_;
+    ++session_number_;
     end_session();
     on_change_();
 }
@@ -204,13 +206,13 @@
 {
     peers_.later([old = std::shared_ptr<session>(std::move(session_))]() mutable
                  { old.reset(); });
-    answer_time_ = answer_spread_ = {};
-    placing_.recall(slot_);
+    answer_time_ = answer_deviation_ = {};
+    queue_.recall(placer_number_);
 }
 
 void placement_client::close()
 {
-    ++number_;
+    ++session_number_;
     session_.reset();
 }
 
--- a/src/glenhollow/durable/placement_client.hpp
+++ b/src/glenhollow/durable/placement_client.hpp
@@ -28,14 +28,15 @@
                                           ///< least; some thirty round trips,
                                           ///< and less than a short task's
                                           ///< slack.
-    duration longest_patience = milliseconds{300}; ///< With one that has been
-                                                   ///< slow, but answered.
-    duration retry = milliseconds{400};  ///< Between attempts to open a
-                                         ///< session.
-    duration avoid = milliseconds{1500}; ///< A placer that has failed is not
-                                         ///< tried so long where another
-                                         ///< one is there; past the time in
-                                         ///< which a dead entry is noticed.
+    duration max_answer_timeout = milliseconds{300}; ///< With one that has been
+                                                     ///< slow, but answered.
+    duration retry = milliseconds{400}; ///< Between attempts to open a
+                                        ///< session.
+    duration failure_backoff =
+        milliseconds{1500}; ///< A placer that has failed is not
+                            ///< tried so long where another
+                            ///< one is there; past the time in
+                            ///< which a dead entry is noticed.
 };
 
 /// Counters of a placement client.
@@ -60,7 +61,7 @@
     /// @param number Of the placer at this entry's queue; not 0.
     /// @param settings Limits.
     placement_client(const clock_source& clock, entry_peers& peers,
-                     dispatcher& placing, std::function<void()> on_change,
+                     dispatcher& queue, std::function<void()> on_change,
                      placer_number number,
                      const placement_client_settings& settings);
     ~placement_client() noexcept;
@@ -99,34 +100,34 @@
     {
         wire::PlacementSession::Client orders; ///< At the placer.
         std::uint64_t incarnation = 0;         ///< Of its process.
-        std::deque<instant> out; ///< When unanswered calls were sent.
+        std::deque<instant> unanswered; ///< When unanswered calls were sent.
         std::map<std::string, placement_load> loads; ///< By service.
         background_tasks calls;                      ///< Dies with the session.
     };
 
-    void begin();
+    void open_session();
     void opened(std::uint64_t number, std::uint64_t incarnation,
                 wire::PlacementSession::Client orders);
     void granted(std::uint64_t number, const std::vector<task_grant>& grants);
-    void send(want_message message);
+    void send(placement_update message);
     void answered(std::uint64_t number,
                   std::map<std::string, placement_load> loads);
     duration patience() const;
-    void leave(std::string_view cause);
+    void leave_placer(std::string_view cause);
     void end_session();
 
     const clock_source& clock_;            ///< This entry's.
     entry_peers& peers_;                   ///< Links to the entries.
-    dispatcher& placing_;                  ///< This entry's queue.
+    dispatcher& queue_;                    ///< This entry's queue.
     std::function<void()> on_change_;      ///< Told of changes.
     placement_client_settings settings_;   ///< Limits.
-    placer_number slot_;                   ///< Of the placer, at the queue.
+    placer_number placer_number_;          ///< Of the placer, at the queue.
     std::string placer_;                   ///< Wanted; empty: this entry.
     std::string failed_;                   ///< The last that did not answer.
     instant failed_until_{};               ///< It is not tried before.
     duration answer_time_{};               ///< Of calls, on average.
-    duration answer_spread_{};             ///< From it, on average.
-    std::uint64_t number_ = 0;             ///< Of the session, rising.
+    duration answer_deviation_{};          ///< From it, on average.
+    std::uint64_t session_number_ = 0;     ///< Of the session, rising.
     bool opening_ = false;                 ///< A session is asked for.
     instant opening_since_{};              ///< When.
     instant retry_at_{};                   ///< Not before.
--- a/src/glenhollow/durable/placement_groups.cpp
+++ b/src/glenhollow/durable/placement_groups.cpp
@@ -14,14 +14,14 @@
 
 /// Cores that count as free where none is: a full group still gets its share
 /// of the jobs if all are full.
-constexpr double least_free = 0.05;
+constexpr double min_free_share = 0.05;
 
 /// A group whose work waits so long gets half as many jobs as one with as much
 /// room where none waits; about a third of a short task's slack.
-constexpr double long_wait_ms = 30.0;
+constexpr double half_weight_wait_ms = 30.0;
 
 /// @return The number of a group's placer at the queue; 0 is this entry.
-placer_number number_of(std::size_t group)
+placer_number placer_number_of(std::size_t group)
 {
     return static_cast<placer_number>(group + 1);
 }
@@ -29,25 +29,25 @@
 } // namespace
 
 placement_groups::placement_groups(const clock_source& clock,
-                                   entry_peers& peers, dispatcher& placing,
+                                   entry_peers& peers, dispatcher& queue,
                                    std::function<void()> on_change,
                                    const placement_groups_settings& settings)
-    : clock_(clock), peers_(peers), placing_(placing),
+    : clock_(clock), peers_(peers), queue_(queue),
       on_change_(std::move(on_change)), settings_(settings),
       random_(settings.client.incarnation)
 {
-    placing_.delegate_by(this);
+    queue_.set_placer_selector(this);
 }
 
 placement_groups::~placement_groups() noexcept
 {
-    placing_.delegate_by(nullptr);
+    queue_.set_placer_selector(nullptr);
 }
 
 /// With one group, an entry whose placer does not answer goes on to the next
 /// one, as all do that noticed it; with more, the other groups take the work.
 std::vector<std::string>
-placement_groups::placers_of(std::vector<placer_candidate> candidates) const
+placement_groups::select_placers(std::vector<placer_candidate> candidates) const
 {
     auto placers = choose_placers(candidates, settings_.choice);
     if (placers.size() != 1 || clients_.empty() ||
@@ -62,18 +62,18 @@
 void placement_groups::choose(const std::vector<placer_candidate>& candidates)
 {
     const auto& own = settings_.client.entry;
-    auto placers = placers_of(candidates);
-    const auto mine = std::find(placers.begin(), placers.end(), own);
+    auto placers = select_placers(candidates);
+    const auto own_position = std::find(placers.begin(), placers.end(), own);
     std::optional<std::size_t> group;
-    if (mine != placers.end())
-        group = static_cast<std::size_t>(mine - placers.begin());
+    if (own_position != placers.end())
+        group = static_cast<std::size_t>(own_position - placers.begin());
     if (group != own_group_ || placers.size() != placers_.size())
-        take_group(group, placers.size());
+        set_own_group(group, placers.size());
     placers_ = std::move(placers);
     while (clients_.size() < placers_.size())
         clients_.push_back(std::make_unique<placement_client>(
-            clock_, peers_, placing_, on_change_, number_of(clients_.size()),
-            settings_.client));
+            clock_, peers_, queue_, on_change_,
+            placer_number_of(clients_.size()), settings_.client));
     for (std::size_t i = 0; i < clients_.size(); ++i)
     {
         const bool other = i < placers_.size() && placers_[i] != own;
@@ -81,8 +81,8 @@
     }
 }
 
-void placement_groups::take_group(std::optional<std::size_t> group,
-                                  std::size_t groups)
+void placement_groups::set_own_group(std::optional<std::size_t> group,
+                                     std::size_t groups)
 {
     own_group_ = group;
     log_change(
@@ -90,12 +90,12 @@
         {{"groups", groups},
          {"own_group", group ? std::to_string(*group) : std::string("none")}});
     if (!group || groups < 2)
-        return placing_.place_only_at(nullptr);
-    placing_.place_only_at([own = *group, groups](const std::string& agent)
-                           { return group_of(agent, groups) == own; });
+        return queue_.place_only_at(nullptr);
+    queue_.place_only_at([own = *group, groups](const std::string& agent)
+                         { return group_of(agent, groups) == own; });
 }
 
-bool placement_groups::takes(const std::string& agent) const
+bool placement_groups::in_own_group(const std::string& agent) const
 {
     return !own_group_ || groups() < 2 ||
            group_of(agent, groups()) == *own_group_;
@@ -151,8 +151,8 @@
     if (load.ready_cores <= 0)
         return 0;
     const double wait_ms = load.waiting_work / load.ready_cores;
-    return (load.free_cores + least_free * load.ready_cores) /
-           (1 + wait_ms / long_wait_ms);
+    return (load.free_cores + min_free_share * load.ready_cores) /
+           (1 + wait_ms / half_weight_wait_ms);
 }
 
 placer_number placement_groups::select(const ready_task& task)
@@ -162,21 +162,21 @@
     double total = 0;
     const auto add = [&](placer_number number, const placement_load* load)
     {
-        const double drawn = load == nullptr ? -1 : weight(*load);
+        const double choice_weight = load == nullptr ? -1 : weight(*load);
         known += load == nullptr ? 0 : 1;
-        total += load == nullptr ? 0 : drawn;
-        choices.emplace_back(number, drawn);
+        total += load == nullptr ? 0 : choice_weight;
+        choices.emplace_back(number, choice_weight);
     };
     for (std::size_t i = 0; i < clients_.size(); ++i)
     {
         if (clients_[i]->open())
-            add(number_of(i), clients_[i]->load(task.service));
+            add(placer_number_of(i), clients_[i]->load(task.service));
     }
     if (choices.empty())
         return 0;
     if (own_group_)
     {
-        const auto loads = placing_.loads();
+        const auto loads = queue_.loads();
         const auto own = loads.find(task.service);
         const placement_load none;
         add(0, own == loads.end() ? &none : &own->second);
@@ -186,8 +186,9 @@
     // One that has told nothing yet counts as the mean of the others.
     const double mean = known > 0 && total > 0 ? total / known : 1;
     std::vector<double> weights;
-    for (const auto& [number, drawn] : choices)
-        weights.push_back(drawn < 0 || total <= 0 ? mean : drawn);
+    for (const auto& [number, choice_weight] : choices)
+        weights.push_back(choice_weight < 0 || total <= 0 ? mean
+                                                          : choice_weight);
     std::discrete_distribution<std::size_t> draw(weights.begin(),
                                                  weights.end());
     return choices[draw(random_)].first;
--- a/src/glenhollow/durable/placement_groups.hpp
+++ b/src/glenhollow/durable/placement_groups.hpp
@@ -35,7 +35,7 @@
     /// @param on_change Told that orders may have to leave.
     /// @param settings Limits.
     placement_groups(const clock_source& clock, entry_peers& peers,
-                     dispatcher& placing, std::function<void()> on_change,
+                     dispatcher& queue, std::function<void()> on_change,
                      const placement_groups_settings& settings);
     ~placement_groups() noexcept override;
 
@@ -61,7 +61,7 @@
     /// @param agent Its name.
     /// @return Whether it is of the group that this entry places for; also
     /// where it places for all or for none.
-    bool takes(const std::string& agent) const;
+    bool in_own_group(const std::string& agent) const;
 
     /// @return Placers whose sessions are open, separated by commas.
     std::string placers() const;
@@ -72,13 +72,13 @@
 private:
     placer_number select(const ready_task& task) override;
     std::vector<std::string>
-    placers_of(std::vector<placer_candidate> candidates) const;
-    void take_group(std::optional<std::size_t> group, std::size_t groups);
+    select_placers(std::vector<placer_candidate> candidates) const;
+    void set_own_group(std::optional<std::size_t> group, std::size_t groups);
     double weight(const placement_load& load) const;
 
     const clock_source& clock_;            ///< This entry's.
     entry_peers& peers_;                   ///< Links to the entries.
-    dispatcher& placing_;                  ///< This entry's queue.
+    dispatcher& queue_;                    ///< This entry's queue.
     std::function<void()> on_change_;      ///< Told of changes.
     placement_groups_settings settings_;   ///< Limits.
     std::vector<std::string> placers_;     ///< By group.
--- a/src/glenhollow/durable/placement_server.cpp
+++ b/src/glenhollow/durable/placement_server.cpp
@@ -26,10 +26,10 @@
     kj::Promise<void> want(WantContext context) override
     {
         if (*alive_)
-            server_.take(entry_,
-                         from_wire(context.getParams(), server_.clock_.now()));
+            server_.apply(entry_,
+                          from_wire(context.getParams(), server_.clock_.now()));
         if (*alive_)
-            fill(context.getResults(), server_.placing_.loads());
+            fill(context.getResults(), server_.queue_.loads());
         return kj::READY_NOW;
     }
 
@@ -39,18 +39,17 @@
     entry_number entry_;          ///< Of the session.
 };
 
-placement_server::placement_server(const clock_source& clock,
-                                   dispatcher& placing,
+placement_server::placement_server(const clock_source& clock, dispatcher& queue,
                                    std::function<void()> on_change)
-    : clock_(clock), placing_(placing), on_change_(std::move(on_change))
+    : clock_(clock), queue_(queue), on_change_(std::move(on_change))
 {
-    placing_.serve(this);
+    queue_.set_grant_sender(this);
 }
 
 placement_server::~placement_server() noexcept
 {
     *alive_ = false;
-    placing_.serve(nullptr);
+    queue_.set_grant_sender(nullptr);
 }
 
 wire::PlacementSession::Client
@@ -63,26 +62,27 @@
         if (here->second.entry == entry)
             end(here->first);
     }
-    const auto number = ++numbers_;
+    const auto number = ++last_number_;
     sessions_.emplace(number, session{entry, kj::mv(grants)});
     log_change(log_level::info, "placement_session_opened", {{"entry", entry}});
     return kj::heap<session_server>(*this, number);
 }
 
-void placement_server::take(entry_number entry, const want_message& message)
+void placement_server::apply(entry_number entry,
+                             const placement_update& message)
 {
     if (!sessions_.contains(entry))
         return; // A later session of the same entry has replaced this one.
     if (message.restart)
-        placing_.drop_entry(entry);
+        queue_.drop_entry(entry);
     for (const auto& grant : message.declined)
-        placing_.declined(entry, grant);
+        queue_.declined(entry, grant);
     for (const auto& task : message.changes.withdrawn)
-        placing_.withdraw(task, entry);
+        queue_.withdraw(task, entry);
     for (auto task : message.changes.added)
     {
         task.entry = entry;
-        placing_.enqueue(std::move(task));
+        queue_.enqueue(std::move(task));
     }
     on_change_();
 }
@@ -95,7 +95,7 @@
     log_change(log_level::info, "placement_session_ended",
                {{"entry", known->second.entry}});
     sessions_.erase(known);
-    placing_.drop_entry(entry);
+    queue_.drop_entry(entry);
 }
 
 void placement_server::grant(entry_number entry, std::vector<task_grant> grants)
--- a/src/glenhollow/durable/placement_server.hpp
+++ b/src/glenhollow/durable/placement_server.hpp
@@ -25,7 +25,7 @@
     /// @param clock Outlives the server.
     /// @param placing Queues and places the tasks; outlives the server.
     /// @param on_change Told that something may be placed.
-    placement_server(const clock_source& clock, dispatcher& placing,
+    placement_server(const clock_source& clock, dispatcher& queue,
                      std::function<void()> on_change);
     ~placement_server() noexcept override;
 
@@ -53,14 +53,14 @@
         wire::PlacementGrants::Client grants; ///< Its ear.
     };
 
-    void take(entry_number entry, const want_message& message);
+    void apply(entry_number entry, const placement_update& message);
     void end(entry_number entry);
 
     const clock_source& clock_;                ///< This entry's.
-    dispatcher& placing_;                      ///< Places the tasks.
+    dispatcher& queue_;                        ///< Places the tasks.
     std::function<void()> on_change_;          ///< Told of changes.
     std::map<entry_number, session> sessions_; ///< By number.
-    entry_number numbers_ = 0;                 ///< Of sessions so far.
+    entry_number last_number_ = 0;             ///< Of sessions so far.
     std::unique_ptr<background_tasks> calls_;  ///< Grants that are out.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true); ///< Guard.
 };
--- a/src/glenhollow/durable/placement_wire.cpp
+++ b/src/glenhollow/durable/placement_wire.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-constexpr std::int64_t micros_a_ms = 1000;
+constexpr std::int64_t micros_per_ms = 1000;
 
 /// Tasks that differ in their index alone go in one record.
-bool alike(const ready_task& a, const ready_task& b)
+bool same_group(const ready_task& a, const ready_task& b)
 {
     return a.task.job == b.task.job && a.task.occurrence == b.task.occurrence &&
            a.task.step == b.task.step && a.avoid == b.avoid &&
@@ -29,7 +29,7 @@
     std::vector<task_group> groups;
     for (const auto& task : tasks)
     {
-        if (groups.empty() || !alike(*groups.back().first, task))
+        if (groups.empty() || !same_group(*groups.back().first, task))
             groups.emplace_back(&task, std::vector<std::uint32_t>{});
         groups.back().second.push_back(task.task.index);
     }
@@ -74,9 +74,9 @@
     task.preferred_label = in.getPreferredLabel();
     task.needs = {in.getCpu(), in.getMemory(), in.getGpu()};
     task.priority = in.getPriority();
-    const auto slack_ms = told_length_ms(in.getSlackMicros() / micros_a_ms);
+    const auto slack_ms = told_length_ms(in.getSlackMicros() / micros_per_ms);
     task.start_by = now + milliseconds{slack_ms} +
-                    microseconds{in.getSlackMicros() % micros_a_ms};
+                    microseconds{in.getSlackMicros() % micros_per_ms};
     task.estimate_ms = in.getEstimateMs();
     task.avoid = in.getAvoid();
     task.begun = in.getBegun();
@@ -90,7 +90,7 @@
 } // namespace
 
 void fill(wire::PlacementSession::WantParams::Builder out,
-          const want_message& message, instant now)
+          const placement_update& message, instant now)
 {
     out.setRestart(message.restart);
     const auto groups = grouped(message.changes.added);
@@ -111,10 +111,10 @@
     }
 }
 
-want_message from_wire(wire::PlacementSession::WantParams::Reader in,
-                       instant now)
+placement_update from_wire(wire::PlacementSession::WantParams::Reader in,
+                           instant now)
 {
-    want_message message;
+    placement_update message;
     message.restart = in.getRestart();
     for (auto group : in.getTasks())
         read_group(group, now, message.changes.added);
--- a/src/glenhollow/durable/placement_wire.hpp
+++ b/src/glenhollow/durable/placement_wire.hpp
@@ -12,7 +12,7 @@
 {
 
 /// What an entry tells its placer.
-struct want_message
+struct placement_update
 {
     bool restart = false;                 ///< Forget what was wanted before.
     queue_changes changes;                ///< Of its waiting tasks.
@@ -29,13 +29,13 @@
 /// @param message What is told.
 /// @param now The sender's time.
 void fill(wire::PlacementSession::WantParams::Builder out,
-          const want_message& message, instant now);
+          const placement_update& message, instant now);
 
 /// @param in A message.
 /// @param now The receiver's time.
 /// @return What was told, in the receiver's time.
-want_message from_wire(wire::PlacementSession::WantParams::Reader in,
-                       instant now);
+placement_update from_wire(wire::PlacementSession::WantParams::Reader in,
+                           instant now);
 
 /// @param out Gets the loads.
 /// @param loads By service.
--- a/src/glenhollow/durable/placer_choice.cpp
+++ b/src/glenhollow/durable/placer_choice.cpp
@@ -16,12 +16,12 @@
     return XXH3_64bits_withSeed(name.data(), name.size(), group + 1);
 }
 
-std::size_t most_agents(const std::vector<placer_candidate>& candidates)
+std::size_t max_agents(const std::vector<placer_candidate>& candidates)
 {
-    std::size_t most = 0;
+    std::size_t highest = 0;
     for (const auto& one : candidates)
-        most = std::max(most, one.able ? one.agents : 0);
-    return most;
+        highest = std::max(highest, one.can_place ? one.agents : 0);
+    return highest;
 }
 
 /// @return Entries that could place, in no order.
@@ -29,14 +29,14 @@
 eligible(const std::vector<placer_candidate>& candidates,
          const placer_choice_settings& settings)
 {
-    const double least =
-        settings.least_agents * static_cast<double>(most_agents(candidates));
+    const double min_agents =
+        settings.min_agent_share * static_cast<double>(max_agents(candidates));
     std::vector<placer_candidate> out;
     std::copy_if(candidates.begin(), candidates.end(), std::back_inserter(out),
-                 [least](const placer_candidate& one)
+                 [min_agents](const placer_candidate& one)
                  {
-                     return one.able && one.agents > 0 &&
-                            static_cast<double>(one.agents) >= least;
+                     return one.can_place && one.agents > 0 &&
+                            static_cast<double>(one.agents) >= min_agents;
                  });
     return out;
 }
@@ -47,26 +47,26 @@
 choose_placers(const std::vector<placer_candidate>& candidates,
                const placer_choice_settings& settings)
 {
-    auto left = eligible(candidates, settings);
-    const auto agents = most_agents(candidates);
+    auto remaining = eligible(candidates, settings);
+    const auto agents = max_agents(candidates);
     // Rounded: a full number of groups does not change with a few agents.
     const auto wanted = std::max<std::size_t>(
         1, (agents + settings.group_agents / 2) / settings.group_agents);
     std::vector<std::string> placers;
-    while (!left.empty() && placers.size() < wanted)
+    while (!remaining.empty() && placers.size() < wanted)
     {
         const auto rank =
             [&settings, group = placers.size()](const placer_candidate& one)
         {
             return std::tuple(-static_cast<std::int64_t>(one.power),
-                              one.started / settings.same_start,
+                              one.started / settings.start_granularity_s,
                               score(one.name, group), one.name);
         };
-        const auto best = std::min_element(left.begin(), left.end(),
+        const auto best = std::min_element(remaining.begin(), remaining.end(),
                                            [&rank](const auto& a, const auto& b)
                                            { return rank(a) < rank(b); });
         placers.push_back(best->name);
-        left.erase(best);
+        remaining.erase(best);
     }
     return placers;
 }
--- a/src/glenhollow/durable/placer_choice.hpp
+++ b/src/glenhollow/durable/placer_choice.hpp
@@ -15,14 +15,14 @@
     std::string name;         ///< Its name.
     std::uint32_t power = 0;  ///< Thousandths of a core that it may use.
     std::size_t agents = 0;   ///< With which it has a session.
-    bool able = false;        ///< Timely, configured and not stopping.
+    bool can_place = false;   ///< Timely, configured and not stopping.
     std::int64_t started = 0; ///< By its time of day, in seconds.
 };
 
 /// Limits of the choice.
 struct placer_choice_settings
 {
-    double least_agents = 0.6;     ///< Of the most that any entry has a session
+    double min_agent_share = 0.6;  ///< Of the most that any entry has a session
                                    ///< with: one that is cut from more would
                                    ///< leave their room unused for everybody.
                                    ///< Where agents go, those that place
@@ -32,8 +32,9 @@
                                    ///< placer spends 0.15 of its 0.5 cores on
                                    ///< the busiest day that was measured (67
                                    ///< agents, 3,000 starts a second).
-    std::int64_t same_start = 10;  ///< Entries that started within the same
-                                   ///< span of so many seconds are alike.
+    std::int64_t start_granularity_s =
+        10; ///< Entries that started within the same
+            ///< span of so many seconds are alike.
 };
 
 /// Chooses the entries that place the tasks of all, one for each group of
--- a/src/glenhollow/durable/queue_catalog.cpp
+++ b/src/glenhollow/durable/queue_catalog.cpp
@@ -11,11 +11,11 @@
 {
 
 /// Of a caller that does not say how long it waits.
-constexpr std::int64_t longest_patience_ms = 30'000;
+constexpr std::int64_t default_give_up_ms = 30'000;
 
 /// Thirty days: a later one is as good as none, and three times it, in
 /// nanoseconds, can still be counted with.
-constexpr double longest_objective_ms = 30.0 * 24 * 3600 * 1000;
+constexpr double max_objective_ms = 30.0 * 24 * 3600 * 1000;
 
 result<void> check_step(const std::vector<job_step>& steps, std::size_t at)
 {
@@ -56,19 +56,19 @@
         auto after = prefixes.upper_bound(path);
         if (after == prefixes.begin())
             return nullptr;
-        const auto& [prefix, place] = *std::prev(after);
-        const auto alike = std::mismatch(prefix.begin(), prefix.end(),
-                                         path.begin(), path.end())
-                               .first -
-                           prefix.begin();
-        const auto length = static_cast<std::size_t>(alike);
+        const auto& [prefix, index] = *std::prev(after);
+        const auto matching = std::mismatch(prefix.begin(), prefix.end(),
+                                            path.begin(), path.end())
+                                  .first -
+                              prefix.begin();
+        const auto length = static_cast<std::size_t>(matching);
         if (length == prefix.size())
-            return &queues_[place];
+            return &queues_[index];
         path = path.substr(0, length);
     }
 }
 
-result<void> check_form(const job_definition& job)
+result<void> check_job_definition(const job_definition& job)
 {
     if (job.spec.size() > max_spec_bytes)
         return failure{"spec has more than " + std::to_string(max_spec_bytes) +
@@ -85,10 +85,11 @@
     return outcome::success();
 }
 
-result<job_definition> admit_form(job_definition job, const queue_rule& rule,
-                                  std::int64_t now_ms)
+result<job_definition> admit_job_definition(job_definition job,
+                                            const queue_rule& rule,
+                                            std::int64_t now_ms)
 {
-    BOOST_OUTCOME_TRYV(check_form(job));
+    BOOST_OUTCOME_TRYV(check_job_definition(job));
     job.queue = rule.name;
     job.service = rule.service;
     job.priority = rule.priority;
@@ -97,13 +98,13 @@
     const double allowed =
         rule.stretch * static_cast<double>(job.critical_path_ms());
     const auto objective = static_cast<std::int64_t>(
-        std::min(rule.target_ms + allowed, longest_objective_ms));
+        std::min(rule.target_ms + allowed, max_objective_ms));
     job.objective_ms = now_ms + objective;
     if (job.durability_class == durability::in_memory)
     {
         // Past three times its objective an end is worth nothing.
         const auto patience =
-            job.expiry_ms == 0 ? longest_patience_ms : job.expiry_ms;
+            job.expiry_ms == 0 ? default_give_up_ms : job.expiry_ms;
         job.expiry_ms = now_ms + std::min(patience, 3 * objective);
     }
     else
--- a/src/glenhollow/durable/queue_catalog.hpp
+++ b/src/glenhollow/durable/queue_catalog.hpp
@@ -72,10 +72,10 @@
 };
 
 /// Reads one document in slices, so that requests are answered in between.
-class catalog_reading
+class catalog_reader
 {
 public:
-    virtual ~catalog_reading() = default;
+    virtual ~catalog_reader() = default;
 
     /// Reads on for one slice.
     /// @return The queues or what is wrong, once that is known.
@@ -84,19 +84,20 @@
 
 /// Begins to read a document, which outlives the reading.
 using catalog_parser =
-    std::function<std::unique_ptr<catalog_reading>(std::string_view document)>;
+    std::function<std::unique_ptr<catalog_reader>(std::string_view document)>;
 
 /// @param job A job.
 /// @return Whether it could have been admitted, or which field is wrong.
-result<void> check_form(const job_definition& job);
+result<void> check_job_definition(const job_definition& job);
 
 /// @param job Its form is checked, and its objective set; its `expiry_ms`
 /// says how long its caller waits, 0 where it does not.
 /// @param rule Of its queue.
 /// @param now_ms Wall time, ms since 1970.
 /// @return The job as it will be journalled, or which field is wrong.
-result<job_definition> admit_form(job_definition job, const queue_rule& rule,
-                                  std::int64_t now_ms);
+result<job_definition> admit_job_definition(job_definition job,
+                                            const queue_rule& rule,
+                                            std::int64_t now_ms);
 
 /// Most bytes of a job's specification.
 inline constexpr std::size_t max_spec_bytes = 4000;
--- a/src/glenhollow/durable/ready_task.hpp
+++ b/src/glenhollow/durable/ready_task.hpp
@@ -45,13 +45,13 @@
 };
 
 /// Needs are told in thousandths of a core.
-inline constexpr double per_core = 1000.0;
+inline constexpr double millicores_per_core = 1000.0;
 
 /// @param task A task.
 /// @return Its core-milliseconds, by its caller's guess.
-inline double work_of(const ready_task& task)
+inline double estimated_core_ms(const ready_task& task)
 {
-    return task.estimate_ms * (task.needs.cpu / per_core);
+    return task.estimate_ms * (task.needs.cpu / millicores_per_core);
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/report_budget.hpp
+++ b/src/glenhollow/durable/report_budget.hpp
@@ -12,12 +12,12 @@
 /// Limits of a report budget.
 struct report_budget_settings
 {
-    double most = 1500;                ///< Reports a second.
-    double least = 150;                ///< Reports a second.
-    double raise = 4;                  ///< Each punctual tick.
-    double cut = 0.8;                  ///< Factor of each late tick.
-    duration late = milliseconds{4};   ///< A tick that comes later.
-    duration longest_gap = seconds{1}; ///< Told to agents, at most.
+    double max_rate = 1500;                    ///< Reports a second.
+    double min_rate = 150;                     ///< Reports a second.
+    double increase = 4;                       ///< Each punctual tick.
+    double decrease_factor = 0.8;              ///< Factor of each late tick.
+    duration late_threshold = milliseconds{4}; ///< A tick that comes later.
+    duration max_gap = seconds{1};             ///< Told to agents, at most.
 };
 
 /// How many reports of room an entry can bear, by how late its own timers
@@ -29,17 +29,18 @@
 public:
     /// @param settings Limits.
     explicit report_budget(const report_budget_settings& settings)
-        : settings_(settings), rate_(settings.most)
+        : settings_(settings), rate_(settings.max_rate)
     {
     }
 
     /// A tick has come.
     /// @param lag How much later than it was due.
-    void note_tick(duration lag)
+    void record_tick(duration lag)
     {
-        rate_ = lag > settings_.late ? rate_ * settings_.cut
-                                     : rate_ + settings_.raise;
-        rate_ = std::clamp(rate_, settings_.least, settings_.most);
+        rate_ = lag > settings_.late_threshold
+                    ? rate_ * settings_.decrease_factor
+                    : rate_ + settings_.increase;
+        rate_ = std::clamp(rate_, settings_.min_rate, settings_.max_rate);
     }
 
     /// @param agents Agents that report.
@@ -49,7 +50,7 @@
         const std::chrono::duration<double> wanted{static_cast<double>(agents) /
                                                    rate_};
         return std::min(std::chrono::duration_cast<duration>(wanted),
-                        settings_.longest_gap);
+                        settings_.max_gap);
     }
 
     /// @return Reports a second, for all agents together.
--- a/src/glenhollow/hosting/job_host.hpp
+++ b/src/glenhollow/hosting/job_host.hpp
@@ -25,7 +25,7 @@
     /// Minimum time between two reports that only update an agent's free
     /// capacity. Ends are reported at once, and no other process places at
     /// these agents, so the host's own count stays exact.
-    duration room_gap = milliseconds{20};
+    duration room_report_interval = milliseconds{20};
     /// Time for which an agent that left the group is kept, as it may still
     /// have runs of this host.
     duration departed_agent_retention = seconds{10};
@@ -129,9 +129,10 @@
     {
         return {jobs_.epoch()};
     }
-    duration room_gap(const std::string&, std::size_t) const override
+    duration room_report_interval(const std::string&,
+                                  std::size_t) const override
     {
-        return settings_.room_gap;
+        return settings_.room_report_interval;
     }
     bool places_for_others(const std::string&) const override { return false; }
     bool places_at(const std::string& agent) const override
--- a/src/glenhollow/hosting/job_host_server.cpp
+++ b/src/glenhollow/hosting/job_host_server.cpp
@@ -59,7 +59,7 @@
         const auto job =
             from_wire(context.getParams().getJob(), wall_milliseconds());
         auto* caller = refresh_session();
-        if (const auto valid = check_form(job); !valid)
+        if (const auto valid = check_job_definition(job); !valid)
         {
             log_change(
                 log_level::error, "handed_job_invalid",
--- a/tests/fuzz/fuzz_targets.cpp
+++ b/tests/fuzz/fuzz_targets.cpp
@@ -105,7 +105,8 @@
     const auto job = decode_definition(bytes);
     if (!job)
         return must_be_short(job.error().text);
-    must(check_form(job.value()).has_value(), "a job has the form of one");
+    must(check_job_definition(job.value()).has_value(),
+         "a job has the form of one");
     const auto row = encode_definition(job.value());
     const auto again = decode_definition(row);
     must(again && encode_definition(again.value()) == row,
@@ -173,7 +174,7 @@
     if (!world.jobs.submitted)
         return must_be_short(got.body);
     const auto& job = *world.jobs.submitted;
-    must(check_form(job).has_value(), "a job has the form of one");
+    must(check_job_definition(job).has_value(), "a job has the form of one");
     const auto row = encode_definition(job);
     const auto again = decode_definition(row);
     must(again && encode_definition(again.value()) == row,
--- a/tests/schedule/simulated_agent.cpp
+++ b/tests/schedule/simulated_agent.cpp
@@ -339,7 +339,8 @@
          number = to.number, sent = out.sent_at, out, ends, begun,
          connection = to.connection]
         {
-            const auto answer = ear->heard(agent, ear_number, out, ends, begun);
+            const auto answer =
+                ear->on_report(agent, ear_number, out, ends, begun);
             connection->send(direction::to_agent, [this, number, sent, answer]
                              { answered(number, sent, answer); });
         });
--- a/tests/schedule/simulated_agent.hpp
+++ b/tests/schedule/simulated_agent.hpp
@@ -34,10 +34,10 @@
     /// @param ends Runs that ended.
     /// @param begun Runs that began.
     /// @return What goes back with the answer.
-    virtual report_answer heard(std::size_t agent, std::uint64_t number,
-                                const runner_report& report,
-                                const std::vector<run_end>& ends,
-                                const std::vector<run_ref>& begun) = 0;
+    virtual report_answer on_report(std::size_t agent, std::uint64_t number,
+                                    const runner_report& report,
+                                    const std::vector<run_end>& ends,
+                                    const std::vector<run_ref>& begun) = 0;
 };
 
 /// What an entry learns when it attaches.
--- a/tests/schedule/simulated_entry.cpp
+++ b/tests/schedule/simulated_entry.cpp
@@ -170,10 +170,10 @@
     to.connection = std::make_shared<simulated_connection>(
         time_, *agents_[agent].link, node_, with.node());
     to.number = ++numbers_;
-    to.clock.forget();
+    to.clock.reset();
     const agent_sessions_settings limits;
     to.silent_since =
-        node_.clock().now() + limits.attach_patience - limits.silence;
+        node_.clock().now() + limits.attach_timeout - limits.silence;
     to.connection->send(
         direction::to_agent,
         [this, agent, &with, number = to.number, connection = to.connection,
@@ -273,17 +273,18 @@
     schedule_dispatch();
 }
 
-report_answer simulated_entry::heard(std::size_t agent, std::uint64_t number,
-                                     const runner_report& report,
-                                     const std::vector<run_end>& ends,
-                                     const std::vector<run_ref>& begun)
+report_answer simulated_entry::on_report(std::size_t agent,
+                                         std::uint64_t number,
+                                         const runner_report& report,
+                                         const std::vector<run_end>& ends,
+                                         const std::vector<run_ref>& begun)
 {
     auto& from = sessions_[agent];
     const auto now = node_.clock().now();
     const auto name = agent_name(agent);
     if (from.number == number)
     {
-        from.clock.heard(report.sent_at, now);
+        from.clock.on_report(report.sent_at, now);
         from.silent_since = silent_since(now, report.next_within);
         silences_[name] = {from.silent_since, false, false};
         placing_->reported(name, report);
--- a/tests/schedule/simulated_entry.hpp
+++ b/tests/schedule/simulated_entry.hpp
@@ -119,10 +119,10 @@
     void send(const std::string& agent, order_batch batch) override;
     std::optional<run_order> assign(const ready_task& task,
                                     const std::string& agent) override;
-    report_answer heard(std::size_t agent, std::uint64_t number,
-                        const runner_report& report,
-                        const std::vector<run_end>& ends,
-                        const std::vector<run_ref>& begun) override;
+    report_answer on_report(std::size_t agent, std::uint64_t number,
+                            const runner_report& report,
+                            const std::vector<run_end>& ends,
+                            const std::vector<run_ref>& begun) override;
 
     void tick();
     void connect(std::size_t agent);
--- a/tests/unit/durable/agent_sessions_tests.cpp
+++ b/tests/unit/durable/agent_sessions_tests.cpp
@@ -45,7 +45,7 @@
 };
 
 /// An entry that notes which accounts of its jobs in memory are complete.
-struct noting_entry : agent_session_listener
+struct recording_entry : agent_session_listener
 {
     void agent_attached(const std::string&, const runner_report&) override {}
     void agent_detached(const std::string&) override {}
@@ -68,7 +68,8 @@
     {
         return {{memory_part, 0}};
     }
-    duration room_gap(const std::string&, std::size_t) const override
+    duration room_report_interval(const std::string&,
+                                  std::size_t) const override
     {
         return milliseconds{1};
     }
@@ -87,7 +88,7 @@
 TEST_CASE("an account is complete only of the process that told the last one")
 {
     rpc_loop loop;
-    noting_entry entry;
+    recording_entry entry;
     agent_sessions_settings limits;
     limits.entry = "entry";
     manual_loop time;
@@ -95,14 +96,14 @@
     auto listener = rpc_listener::create(loop.io(), "127.0.0.1", 0);
     REQUIRE(listener);
     auto& links = *listener.value();
-    std::size_t told = 0;
+    std::size_t accounts_seen = 0;
     std::function<void()> step = [&]
     {
         if (entry.complete.size() == 5)
             return loop.stop();
-        if (entry.complete.size() > told)
+        if (entry.complete.size() > accounts_seen)
         {
-            told = entry.complete.size();
+            accounts_seen = entry.complete.size();
             time.advance(limits.silence + milliseconds{10});
             sessions.tick(); // Drops the silent session.
             time.advance(limits.link.longest_backoff);
--- a/tests/unit/durable/cancel_over_links_tests.cpp
+++ b/tests/unit/durable/cancel_over_links_tests.cpp
@@ -31,7 +31,7 @@
     {
         service = std::make_unique<durable_service>(
             loop.io(), process_clock(), store,
-            [](std::string_view) -> std::unique_ptr<catalog_reading>
+            [](std::string_view) -> std::unique_ptr<catalog_reader>
             { return nullptr; },
             settings);
     }
--- a/tests/unit/durable/configuration_keeper_tests.cpp
+++ b/tests/unit/durable/configuration_keeper_tests.cpp
@@ -10,7 +10,7 @@
 {
 
 /// Reads "VERSION SLICES", one slice a step; anything else has a fault.
-class counted_reading final : public catalog_reading
+class counted_reading final : public catalog_reader
 {
 public:
     explicit counted_reading(std::string_view document)
--- a/tests/unit/durable/delegated_tasks_tests.cpp
+++ b/tests/unit/durable/delegated_tasks_tests.cpp
@@ -66,7 +66,7 @@
     waiting.add(1, task(10));
     waiting.add(1, task(10, 1));
     waiting.take(task(10).task, 1);
-    waiting.note_begun(10);
+    waiting.mark_begun(10);
     const auto left = waiting.take_all(1);
     REQUIRE(left.size() == 1);
     CHECK(left[0].begun);
--- a/tests/unit/durable/dispatcher_sharing_tests.cpp
+++ b/tests/unit/durable/dispatcher_sharing_tests.cpp
@@ -23,7 +23,7 @@
     placement_world world(1);
     fixed_selector selector;
     world.runner("a", "rack-1");
-    world.placing.delegate_by(&selector);
+    world.placing.set_placer_selector(&selector);
     const auto wanted = world.task("", slack);
     world.placing.enqueue(wanted);
     world.placing.dispatch();
@@ -31,19 +31,19 @@
     REQUIRE(world.placing.take_changes(1).added.size() == 1);
     SECTION("the order names the grant")
     {
-        CHECK(world.placing.use({wanted.task, "a", 7}, {1, 99}) ==
+        CHECK(world.placing.apply_grant({wanted.task, "a", 7}, {1, 99}) ==
               grant_verdict::used);
         world.placing.dispatch();
         REQUIRE(world.orders.size() == 1);
         CHECK(world.orders[0].placer == 99);
         CHECK(world.orders[0].grant == 7);
         CHECK(world.placing.take_changes(1).empty()); // Its placer knows.
-        CHECK(world.placing.use({wanted.task, "a", 8}, {1, 99}) ==
+        CHECK(world.placing.apply_grant({wanted.task, "a", 8}, {1, 99}) ==
               grant_verdict::not_wanted);
     }
     SECTION("an agent out of reach: the task is wanted again")
     {
-        CHECK(world.placing.use({wanted.task, "b", 7}, {1, 99}) ==
+        CHECK(world.placing.apply_grant({wanted.task, "b", 7}, {1, 99}) ==
               grant_verdict::unreachable);
         CHECK(world.placing.take_changes(1).added.size() == 1);
         CHECK(world.placing.waiting() == 1);
@@ -52,7 +52,7 @@
     {
         world.placing.withdraw(wanted.task);
         CHECK(world.placing.take_changes(1).withdrawn.size() == 1);
-        CHECK(world.placing.use({wanted.task, "a", 7}, {1, 99}) ==
+        CHECK(world.placing.apply_grant({wanted.task, "a", 7}, {1, 99}) ==
               grant_verdict::not_wanted);
     }
     SECTION("without its placer the entry places by itself")
@@ -60,7 +60,7 @@
         selector.placer = 0;
         world.placing.recall(1);
         CHECK(world.place_again() == "a");
-        CHECK(world.placing.use({wanted.task, "a", 7}, {1, 99}) ==
+        CHECK(world.placing.apply_grant({wanted.task, "a", 7}, {1, 99}) ==
               grant_verdict::not_wanted);
         CHECK(world.placed.size() == 1);
     }
@@ -71,10 +71,10 @@
         CHECK(world.placing.take_changes(1).empty());
         CHECK(world.placing.take_changes(2).added.size() == 1);
         // A grant of the first placer that was on its way all the while.
-        CHECK(world.placing.use({wanted.task, "a", 7}, {1, 99}) ==
+        CHECK(world.placing.apply_grant({wanted.task, "a", 7}, {1, 99}) ==
               grant_verdict::used);
         CHECK(world.placing.take_changes(2).withdrawn.size() == 1);
-        CHECK(world.placing.use({wanted.task, "a", 3}, {2, 88}) ==
+        CHECK(world.placing.apply_grant({wanted.task, "a", 3}, {2, 88}) ==
               grant_verdict::not_wanted);
         world.placing.dispatch();
         CHECK(world.orders.size() == 1);
@@ -89,10 +89,10 @@
     placement_world world(1);
     fixed_selector selector;
     world.runner("a", "rack-1");
-    world.placing.delegate_by(&selector);
+    world.placing.set_placer_selector(&selector);
     const auto wanted = world.task("", slack);
     world.placing.enqueue(wanted);
-    REQUIRE(world.placing.use({wanted.task, "a", 7}, {1, 99}) ==
+    REQUIRE(world.placing.apply_grant({wanted.task, "a", 7}, {1, 99}) ==
             grant_verdict::used);
     REQUIRE(world.orders.empty());
     world.placing.stop("a", {wanted.task, 0}); // As it was assigned.
@@ -122,7 +122,7 @@
     placement_world world(1);
     fixed_selector selector;
     selector.placer = 0;
-    world.placing.delegate_by(&selector);
+    world.placing.set_placer_selector(&selector);
     auto first = world.task("", slack);
     auto second = first;
     second.task.index = 1;
@@ -140,7 +140,7 @@
 {
     placement_world world(1);
     fixed_selector selector;
-    world.placing.delegate_by(&selector);
+    world.placing.set_placer_selector(&selector);
     auto first = world.task("", slack);
     auto second = first;
     second.task.index = 1;
@@ -176,7 +176,7 @@
 TEST_CASE("an agent that moves to another group loses no room and no grant")
 {
     placement_world world(1);
-    world.placing.serve(&world);
+    world.placing.set_grant_sender(&world);
     world.runner("a", "rack-1");
     world.placing.enqueue(world.task_of(1, slack));
     world.placing.dispatch();
@@ -202,9 +202,9 @@
     world.runner("a", "rack-1");
     world.placing.place_only_at([](const std::string& name)
                                 { return name == "b"; });
-    world.placing.delegate_by(&selector);
+    world.placing.set_placer_selector(&selector);
     const auto wanted = world.task("", slack);
     world.placing.enqueue(wanted);
-    CHECK(world.placing.use({wanted.task, "a", 7}, {1, 99}) ==
+    CHECK(world.placing.apply_grant({wanted.task, "a", 7}, {1, 99}) ==
           grant_verdict::used);
 }
--- a/tests/unit/durable/dispatcher_tests.cpp
+++ b/tests/unit/durable/dispatcher_tests.cpp
@@ -149,7 +149,7 @@
     end.outcome = run_outcome::done;
     end.duration_us = 180'000;
     for (int i = 0; i < 20; ++i)
-        world.placing.note_end("a", end, step);
+        world.placing.record_end("a", end, step);
     CHECK(world.placing.agents().at("a").pace() == Approx(1.0));
 }
 
@@ -158,7 +158,7 @@
 TEST_CASE("tasks of several entries start in the order of their urgency")
 {
     placement_world world(1);
-    world.placing.serve(&world);
+    world.placing.set_grant_sender(&world);
     world.runner("a", "rack-1", 16000);
     const auto own = world.task("", milliseconds{50});
     const auto first = world.task_of(1, milliseconds{40});
@@ -186,7 +186,7 @@
 TEST_CASE("a late task takes no room from another entry's task in time")
 {
     placement_world world(1);
-    world.placing.serve(&world);
+    world.placing.set_grant_sender(&world);
     world.runner("a", "rack-1", 16000);
     world.placing.enqueue(world.task("", milliseconds{10}));
     world.loop.advance(milliseconds{20});
@@ -223,7 +223,7 @@
 TEST_CASE("granted room is taken until its order has come or cannot come")
 {
     placement_world world(1);
-    world.placing.serve(&world);
+    world.placing.set_grant_sender(&world);
     world.runner("a", "rack-1", 14400); // Room for one.
     world.placing.enqueue(world.task_of(1, slack));
     world.placing.dispatch();
@@ -253,7 +253,7 @@
 TEST_CASE("an entry without a session with an agent gets no grants there")
 {
     placement_world world(1);
-    world.placing.serve(&world);
+    world.placing.set_grant_sender(&world);
     world.runner("a", "rack-1");
     world.placing.enqueue(world.task_of(1, slack));
     world.placing.dispatch();
@@ -274,7 +274,7 @@
 {
     // Its caller has sent it again to another entry.
     placement_world world(1);
-    world.placing.serve(&world);
+    world.placing.set_grant_sender(&world);
     world.runner("a", "rack-1");
     auto again = world.task("", slack);
     world.placing.enqueue(again);
@@ -288,7 +288,7 @@
 TEST_CASE("tasks of an entry that is lost are dropped, and no others")
 {
     placement_world world(1);
-    world.placing.serve(&world);
+    world.placing.set_grant_sender(&world);
     world.placing.enqueue(world.task_of(1, slack));
     world.placing.enqueue(world.task_of(2, slack));
     world.placing.enqueue(world.task("", slack));
--- a/tests/unit/durable/durable_service_tests.cpp
+++ b/tests/unit/durable/durable_service_tests.cpp
@@ -140,7 +140,7 @@
     settings.parts = 1;
     durable_service service(
         loop.io(), process_clock(), store,
-        [](std::string_view) -> std::unique_ptr<catalog_reading>
+        [](std::string_view) -> std::unique_ptr<catalog_reader>
         { return nullptr; },
         settings);
     auto listener = rpc_listener::create(loop.io(), "127.0.0.1", 0);
@@ -183,7 +183,7 @@
     settings.parts = 1;
     durable_service service(
         loop.io(), store_loop.clock, store,
-        [](std::string_view) -> std::unique_ptr<catalog_reading>
+        [](std::string_view) -> std::unique_ptr<catalog_reader>
         { return nullptr; },
         settings);
     std::function<void()> serve_store = [&]
@@ -235,7 +235,7 @@
     settings.where = {"127.0.0.1", 1};
     durable_service service(
         loop.io(), process_clock(), store,
-        [](std::string_view) -> std::unique_ptr<catalog_reading>
+        [](std::string_view) -> std::unique_ptr<catalog_reader>
         { return nullptr; },
         settings);
     auto listener = rpc_listener::create(loop.io(), "127.0.0.1", 0);
@@ -272,7 +272,7 @@
     settings.where = {"127.0.0.1", 1};
     durable_service service(
         loop.io(), process_clock(), store,
-        [](std::string_view) -> std::unique_ptr<catalog_reading>
+        [](std::string_view) -> std::unique_ptr<catalog_reader>
         { return nullptr; },
         settings);
     auto listener = rpc_listener::create(loop.io(), "127.0.0.1", 0);
--- a/tests/unit/durable/evacuation_tests.cpp
+++ b/tests/unit/durable/evacuation_tests.cpp
@@ -15,7 +15,7 @@
 {
 
 /// An entry that tells agents what it knows of their hall.
-struct telling_entry : agent_session_listener
+struct evacuation_entry : agent_session_listener
 {
     void agent_attached(const std::string&, const runner_report&) override {}
     void agent_detached(const std::string&) override {}
@@ -35,7 +35,8 @@
         return {};
     }
     std::vector<part_epoch> owned_parts() const override { return {}; }
-    duration room_gap(const std::string&, std::size_t) const override
+    duration room_report_interval(const std::string&,
+                                  std::size_t) const override
     {
         return milliseconds{1};
     }
@@ -43,23 +44,23 @@
     bool places_at(const std::string&) const override { return true; }
     hall_evacuation evacuation_of(const std::string&) const override
     {
-        return told;
+        return evacuation;
     }
 
-    hall_evacuation told;
+    hall_evacuation evacuation;
     runner_phase phase = runner_phase::absent;
 };
 
 /// An entry's exchanges with others.
-struct viewing_entry : entry_peer_handler
+struct exchanging_entry : entry_peer_handler
 {
-    explicit viewing_entry(std::string name) { view.name = std::move(name); }
+    explicit exchanging_entry(std::string name) { view.name = std::move(name); }
 
     entry_view own_view() override { return view; }
     void peer_seen(const entry_view& other) override
     {
         view.evacuated.take(other.evacuated);
-        ++met;
+        ++exchanges;
     }
     void serve(const job_call&, job_reply_handler done) override { done({}); }
     std::string catalog_document() override { return {}; }
@@ -70,7 +71,7 @@
     }
 
     entry_view view;
-    int met = 0;
+    int exchanges = 0;
 };
 
 } // namespace
@@ -133,7 +134,7 @@
     REQUIRE(manager.account().phase == runner_phase::ready);
     auto agent = std::make_unique<run_agent_service>(
         loop.io(), process_clock(), manager, 1, report_pacing_settings{});
-    telling_entry entry;
+    evacuation_entry entry;
     agent_sessions_settings limits;
     limits.entry = "entry";
     agent_sessions sessions(loop.io(), process_clock(), entry, limits);
@@ -148,13 +149,13 @@
         if (entry.phase == runner_phase::ready && phases.empty())
         {
             phases.push_back(entry.phase);
-            entry.told = {true, 7};
+            entry.evacuation = {true, 7};
         }
         if (entry.phase == runner_phase::draining && phases.size() == 1)
         {
             phases.push_back(entry.phase);
-            entry.told = {true, 6}; // An entry that is behind.
-            entry.told = {false, 8};
+            entry.evacuation = {true, 6}; // An entry that is behind.
+            entry.evacuation = {false, 8};
         }
         if (entry.phase == runner_phase::ready && phases.size() == 2)
         {
@@ -183,9 +184,9 @@
 TEST_CASE("an entry that the store turns away learns evacuations from others")
 {
     rpc_loop loop;
-    viewing_entry informed("informed");
+    exchanging_entry informed("informed");
     informed.view.evacuated.take(7, {"hall-1", "hall-2"});
-    viewing_entry turned_away("turned-away");
+    exchanging_entry turned_away("turned-away");
     entry_peers server(loop.io(), process_clock(), informed, {});
     entry_peers client(loop.io(), process_clock(), turned_away, {});
     auto listener = rpc_listener::create(loop.io(), "127.0.0.1", 0);
@@ -194,7 +195,7 @@
     std::function<void()> step = [&]
     {
         client.tick();
-        if (turned_away.met > 0)
+        if (turned_away.exchanges > 0)
             return loop.stop();
         run_after(loop.io(), milliseconds{2}, step);
     };
--- a/tests/unit/durable/job_rows_tests.cpp
+++ b/tests/unit/durable/job_rows_tests.cpp
@@ -47,7 +47,7 @@
 
 TEST_CASE("journal rows survive a round trip")
 {
-    const auto formed = admit_form(sample(), rule(), 1000);
+    const auto formed = admit_job_definition(sample(), rule(), 1000);
     REQUIRE(formed);
     const auto read = decode_definition(encode_definition(formed.value()));
     REQUIRE(read);
@@ -84,18 +84,19 @@
 {
     auto circle = sample();
     circle.steps[0].after = {1};
-    CHECK(admit_form(circle, rule(), 0).error().text ==
+    CHECK(admit_job_definition(circle, rule(), 0).error().text ==
           "steps[0].after names step 1, which is not earlier");
     auto empty = sample();
     empty.steps.clear();
-    CHECK(admit_form(empty, rule(), 0).error().text == "steps is empty");
+    CHECK(admit_job_definition(empty, rule(), 0).error().text ==
+          "steps is empty");
     auto none = sample();
     none.steps[1].count = 0;
-    CHECK(admit_form(none, rule(), 0).error().text ==
+    CHECK(admit_job_definition(none, rule(), 0).error().text ==
           "steps[1].count is not in 1..10000");
     auto large = sample();
     large.spec.assign(max_spec_bytes + 1, 'x');
-    CHECK(admit_form(large, rule(), 0).error().text ==
+    CHECK(admit_job_definition(large, rule(), 0).error().text ==
           "spec has more than 4000 bytes");
 }
 
@@ -104,11 +105,12 @@
     auto job = sample();
     job.durability_class = durability::in_memory;
     job.expiry_ms = 5000;
-    CHECK(admit_form(job, rule(), 1000).value().expiry_ms == 1000 + 900);
+    CHECK(admit_job_definition(job, rule(), 1000).value().expiry_ms ==
+          1000 + 900);
     job.expiry_ms = 400;
-    CHECK(admit_form(job, rule(), 1000).value().expiry_ms == 1400);
+    CHECK(admit_job_definition(job, rule(), 1000).value().expiry_ms == 1400);
     job.durability_class = durability::journalled;
-    CHECK(admit_form(job, rule(), 1000).value().expiry_ms == 0);
+    CHECK(admit_job_definition(job, rule(), 1000).value().expiry_ms == 0);
 }
 
 TEST_CASE("a queue is selected by the longest matching prefix of its host")
--- a/tests/unit/durable/margins_tests.cpp
+++ b/tests/unit/durable/lease_timing_tests.cpp
@@ -1,4 +1,4 @@
-#include "glenhollow/durable/margins.hpp"
+#include "glenhollow/durable/lease_timing.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -7,9 +7,9 @@
 namespace
 {
 
-std::string cause(const margin_settings& of)
+std::string cause(const lease_timing& timing)
 {
-    const auto checked = check_margins(of);
+    const auto checked = check_lease_timing(timing);
     return checked ? "" : checked.error().text;
 }
 
@@ -17,34 +17,34 @@
 
 TEST_CASE("the defaults keep all margins", "[margins]")
 {
-    CHECK(cause(default_margins()) == "");
+    CHECK(cause(default_lease_timing()) == "");
 }
 
 TEST_CASE("a margin that does not hold names both settings", "[margins]")
 {
-    auto longer = default_margins();
+    auto longer = default_lease_timing();
     longer.memory_lease = milliseconds{950};
     CHECK(cause(longer).find("memory_lease and stop_time") == 0);
     CHECK(cause(longer).find("before callers_wait") != std::string::npos);
 
-    auto early = default_margins();
+    auto early = default_lease_timing();
     early.memory_silence = milliseconds{1210};
     CHECK(cause(early).find("before memory_silence") != std::string::npos);
 
-    auto cancel = default_margins();
+    auto cancel = default_lease_timing();
     cancel.cancel_lapse = milliseconds{1200};
     CHECK(cause(cancel).find("before cancel_lapse") != std::string::npos);
 
-    auto part = default_margins();
+    auto part = default_lease_timing();
     part.part_lease = milliseconds{2900};
     CHECK(cause(part).find("part_lease and stop_time") == 0);
     CHECK(cause(part).find("before part_silence") != std::string::npos);
 
-    auto hold = default_margins();
+    auto hold = default_lease_timing();
     hold.hold = milliseconds{1260};
     CHECK(cause(hold).find("hold") == 0);
 
-    auto session = default_margins();
+    auto session = default_lease_timing();
     session.session_silence = milliseconds{1950};
     CHECK(cause(session).find("session_silence") == 0);
 }
@@ -53,7 +53,7 @@
 {
     // 0.8 + 0.35 s: 1,173 ms on a slow clock, 20 ms more for a slow server,
     // against a bound on a fast clock.
-    auto one = default_margins();
+    auto one = default_lease_timing();
     one.callers_wait = milliseconds{1219};
     CHECK(cause(one) == "");
     one.callers_wait = milliseconds{1217};
--- a/tests/unit/durable/placer_choice_tests.cpp
+++ b/tests/unit/durable/placer_choice_tests.cpp
@@ -11,10 +11,10 @@
 {
 
 placer_candidate entry(const std::string& name, std::uint32_t power = 250,
-                       std::size_t agents = 11, bool able = true,
+                       std::size_t agents = 11, bool can_place = true,
                        std::int64_t started = 0)
 {
-    return {name, power, agents, able, started};
+    return {name, power, agents, can_place, started};
 }
 
 /// The only placer, of the only group.
@@ -26,7 +26,8 @@
 }
 
 /// Entries that are all alike.
-std::vector<placer_candidate> alike(std::size_t count, std::size_t agents)
+std::vector<placer_candidate> identical_entries(std::size_t count,
+                                                std::size_t agents)
 {
     std::vector<placer_candidate> out;
     for (std::size_t i = 0; i < count; ++i)
@@ -92,18 +93,18 @@
 
 TEST_CASE("more agents than one placer can bear are divided")
 {
-    CHECK(choose_placers(alike(5, 80), {}).size() == 1);
-    CHECK(choose_placers(alike(5, 3), {}).size() == 1);
-    const auto three = choose_placers(alike(5, 240), {});
+    CHECK(choose_placers(identical_entries(5, 80), {}).size() == 1);
+    CHECK(choose_placers(identical_entries(5, 3), {}).size() == 1);
+    const auto three = choose_placers(identical_entries(5, 240), {});
     CHECK(std::set<std::string>(three.begin(), three.end()).size() == 3);
-    CHECK(choose_placers(alike(2, 240), {}).size() == 2);
+    CHECK(choose_placers(identical_entries(2, 240), {}).size() == 2);
 }
 
 TEST_CASE("placers that notice first that agents have gone keep their groups")
 {
     // Found on a deployment of 240 agents: 36 went, the placers heard of it
     // two seconds before the others, and the groups changed hands 11 times.
-    auto all = alike(15, 240);
+    auto all = identical_entries(15, 240);
     const auto before = choose_placers(all, {});
     for (auto& one : all)
     {
@@ -117,7 +118,7 @@
 
 TEST_CASE("the loss of a placer leaves most other groups with theirs")
 {
-    const auto all = alike(15, 240);
+    const auto all = identical_entries(15, 240);
     const auto before = choose_placers(all, {});
     for (const auto& lost : before)
     {
--- a/tests/unit/durable/restarted_server_links_tests.cpp
+++ b/tests/unit/durable/restarted_server_links_tests.cpp
@@ -14,7 +14,7 @@
 {
 
 /// An entry that keeps the view of one agent.
-struct watching_entry : agent_session_listener
+struct viewing_entry : agent_session_listener
 {
     void agent_attached(const std::string&, const runner_report& told) override
     {
@@ -37,7 +37,8 @@
         return {};
     }
     std::vector<part_epoch> owned_parts() const override { return {}; }
-    duration room_gap(const std::string&, std::size_t) const override
+    duration room_report_interval(const std::string&,
+                                  std::size_t) const override
     {
         return milliseconds{1};
     }
@@ -76,23 +77,23 @@
     time.advance(milliseconds{20});
     auto agent = std::make_unique<run_agent_service>(
         loop.io(), process_clock(), manager, 1, report_pacing_settings{});
-    watching_entry entry;
+    viewing_entry entry;
     agent_sessions_settings limits;
     limits.entry = "entry";
     agent_sessions sessions(loop.io(), process_clock(), entry, limits);
     auto listener = rpc_listener::create(loop.io(), "127.0.0.1", 0);
     REQUIRE(listener);
     auto& links = *listener.value();
-    bool again = false;
+    bool restarted = false;
     std::function<void()> step = [&]
     {
         sessions.tick();
         agent->tick();
         const auto& seen = entry.view.account();
-        if (seen.phase == runner_phase::ready && !again)
+        if (seen.phase == runner_phase::ready && !restarted)
         {
             CHECK(seen.capacity.cpu == 96000);
-            again = true;
+            restarted = true;
             server.restart(2000);
             time.advance(milliseconds{200});
             account.born_ms = 2000;
@@ -101,7 +102,8 @@
             manager.registered(account);
             time.advance(milliseconds{50});
         }
-        if (again && seen.born_ms == 2000 && seen.phase == runner_phase::ready)
+        if (restarted && seen.born_ms == 2000 &&
+            seen.phase == runner_phase::ready)
             return loop.stop();
         run_after(loop.io(), milliseconds{2}, step);
     };
--- a/tests/unit/durable/server_order_tests.cpp
+++ b/tests/unit/durable/server_order_tests.cpp
@@ -157,7 +157,7 @@
     run_end end;
     end.outcome = run_outcome::stopped;
     for (int i = 0; i < 20; ++i)
-        world.placing.note_end("a", end, {});
+        world.placing.record_end("a", end, {});
     world.placing.reported("a", placement_world::report("rack-1", 0));
     CHECK(world.place(world.task("", slack)) == "a");
 }
@@ -179,7 +179,7 @@
     auto report = placement_world::report("rack-1", 0);
     report.account.instance = "life-1";
     view.attached(report);
-    view.note_pace(3.0);
+    view.record_pace(3.0);
     CHECK(view.pace() > 1.0);
     report.room.pace = 1.6;
     view.reported(report);
@@ -192,7 +192,7 @@
     report.room.pace = 0;
     view.reported(report);
     CHECK(view.pace() == Approx(1.0));
-    view.note_pace(3.0);
+    view.record_pace(3.0);
     report.account.born_ms = 2000; // Another life under the same id.
     view.reported(report);
     CHECK(view.pace() == Approx(1.0));
--- a/tests/unit/durable/shared_placement_tests.cpp
+++ b/tests/unit/durable/shared_placement_tests.cpp
@@ -17,9 +17,9 @@
 constexpr std::uint64_t placer_incarnation = 77;
 
 /// A queue, with agents that take what they are told.
-struct queue_side : order_sender, task_source
+struct queue_fixture : order_sender, task_source
 {
-    queue_side() : placing(process_clock(), *this, *this, {})
+    queue_fixture() : placing(process_clock(), *this, *this, {})
     {
         runner_report report;
         report.account.service = "service-1";
@@ -60,7 +60,7 @@
 };
 
 /// Whether the placer answers what it is told.
-enum class placer_manner
+enum class placer_behavior
 {
     answers,
     silent
@@ -76,9 +76,9 @@
 class placer_peer final : public wire::EntryPeer::Server
 {
 public:
-    placer_peer(placement_server& placements, placer_manner manner,
+    placer_peer(placement_server& placements, placer_behavior behavior,
                 std::string name = "placer")
-        : placements_(placements), manner_(manner), name_(std::move(name))
+        : placements_(placements), behavior_(behavior), name_(std::move(name))
     {
     }
 
@@ -93,7 +93,7 @@
         auto params = context.getParams();
         auto out = context.getResults();
         out.setIncarnation(placer_incarnation);
-        if (manner_ == placer_manner::silent)
+        if (behavior_ == placer_behavior::silent)
             out.setSession(kj::heap<silent_session>());
         else
             out.setSession(
@@ -103,7 +103,7 @@
 
 private:
     placement_server& placements_; ///< Outlives the peer.
-    placer_manner manner_;         ///< How it behaves.
+    placer_behavior behavior_;     ///< How it behaves.
     std::string name_;             ///< As it tells it.
 };
 
@@ -120,9 +120,9 @@
 };
 
 /// Plays until a condition holds; a deadlock is left to the test's timeout.
-struct placement_play
+struct placement_fixture
 {
-    explicit placement_play(placer_manner manner) : manner(manner)
+    explicit placement_fixture(placer_behavior behavior) : behavior(behavior)
     {
         placement_groups_settings limits;
         limits.client.entry = "entry";
@@ -152,7 +152,7 @@
         loop.run(
             [&]
             {
-                links.serve(kj::heap<placer_peer>(placements, manner));
+                links.serve(kj::heap<placer_peer>(placements, behavior));
                 peers.add("placer", {"127.0.0.1", links.port()});
                 step();
             },
@@ -165,11 +165,11 @@
             });
     }
 
-    placer_manner manner;
+    placer_behavior behavior;
     rpc_loop loop;
     idle_handler handler;
-    queue_side entry;
-    queue_side placer;
+    queue_fixture entry;
+    queue_fixture placer;
     placement_server placements{process_clock(), placer.placing, [] {}};
     entry_peers peers{loop.io(), process_clock(), handler, {}};
     std::unique_ptr<placement_groups> client;
@@ -179,70 +179,70 @@
 
 TEST_CASE("a task waits at the placer and is ordered by its own entry, once")
 {
-    placement_play play(placer_manner::answers);
+    placement_fixture fixture(placer_behavior::answers);
     bool enqueued = false;
-    play.until([&] { return !play.entry.orders.empty(); },
-               [&]
-               {
-                   if (!play.client->delegates() ||
-                       std::exchange(enqueued, true))
-                       return;
-                   play.entry.placing.enqueue(queue_side::task(1));
-               });
-    REQUIRE(play.entry.orders.size() == 1);
-    CHECK(play.entry.orders[0].placer == placer_incarnation);
-    CHECK(play.entry.orders[0].grant != 0);
-    CHECK(play.placer.orders.empty());
-    CHECK(play.placer.placing.stats().granted == 1);
-    CHECK(play.client->stats().unused == 0);
+    fixture.until([&] { return !fixture.entry.orders.empty(); },
+                  [&]
+                  {
+                      if (!fixture.client->delegates() ||
+                          std::exchange(enqueued, true))
+                          return;
+                      fixture.entry.placing.enqueue(queue_fixture::task(1));
+                  });
+    REQUIRE(fixture.entry.orders.size() == 1);
+    CHECK(fixture.entry.orders[0].placer == placer_incarnation);
+    CHECK(fixture.entry.orders[0].grant != 0);
+    CHECK(fixture.placer.orders.empty());
+    CHECK(fixture.placer.placing.stats().granted == 1);
+    CHECK(fixture.client->stats().unused == 0);
 }
 
 TEST_CASE("without an answer of its placer an entry places by itself")
 {
-    placement_play play(placer_manner::silent);
+    placement_fixture fixture(placer_behavior::silent);
     bool enqueued = false;
-    play.until([&] { return !play.entry.orders.empty(); },
-               [&]
-               {
-                   if (!play.client->delegates() ||
-                       std::exchange(enqueued, true))
-                       return;
-                   play.entry.placing.enqueue(queue_side::task(1));
-               });
-    REQUIRE(play.entry.orders.size() == 1);
-    CHECK(play.entry.orders[0].grant == 0);
-    CHECK(play.client->stats().failures >= 1);
+    fixture.until([&] { return !fixture.entry.orders.empty(); },
+                  [&]
+                  {
+                      if (!fixture.client->delegates() ||
+                          std::exchange(enqueued, true))
+                          return;
+                      fixture.entry.placing.enqueue(queue_fixture::task(1));
+                  });
+    REQUIRE(fixture.entry.orders.size() == 1);
+    CHECK(fixture.entry.orders[0].grant == 0);
+    CHECK(fixture.client->stats().failures >= 1);
 }
 
 TEST_CASE("a session takes its waiting tasks along")
 {
-    placement_play play(placer_manner::answers);
+    placement_fixture fixture(placer_behavior::answers);
     runner_report full;
     full.account.service = "service-1";
     full.account.capacity = {4000, 1000, 0};
     full.account.phase = runner_phase::ready;
     full.room.used = full.account.capacity;
-    play.placer.placing.reported("agent-1", full);
+    fixture.placer.placing.reported("agent-1", full);
     bool enqueued = false;
-    play.until([&] { return play.placer.placing.waiting() == 1; },
-               [&]
-               {
-                   if (!play.client->delegates() ||
-                       std::exchange(enqueued, true))
-                       return;
-                   play.entry.placing.enqueue(queue_side::task(1));
-               });
-    CHECK(play.placer.placing.waiting() == 0); // The link has been closed.
-    CHECK(play.entry.placing.waiting() == 1);  // Its entry still has it.
+    fixture.until([&] { return fixture.placer.placing.waiting() == 1; },
+                  [&]
+                  {
+                      if (!fixture.client->delegates() ||
+                          std::exchange(enqueued, true))
+                          return;
+                      fixture.entry.placing.enqueue(queue_fixture::task(1));
+                  });
+    CHECK(fixture.placer.placing.waiting() == 0); // The link has been closed.
+    CHECK(fixture.entry.placing.waiting() == 1);  // Its entry still has it.
 }
 
 namespace
 {
 
 /// An entry with two placers, one of which is silent.
-struct two_placers_play
+struct two_placers_fixture
 {
-    two_placers_play()
+    two_placers_fixture()
     {
         placement_groups_settings limits;
         limits.client.entry = "entry";
@@ -277,9 +277,9 @@
             [&]
             {
                 silent_links.value()->serve(kj::heap<placer_peer>(
-                    placements, placer_manner::silent, "silent"));
+                    placements, placer_behavior::silent, "silent"));
                 links.value()->serve(kj::heap<placer_peer>(
-                    placements, placer_manner::answers, "placer"));
+                    placements, placer_behavior::answers, "placer"));
                 peers.add("silent",
                           {"127.0.0.1", silent_links.value()->port()});
                 peers.add("placer", {"127.0.0.1", links.value()->port()});
@@ -302,15 +302,15 @@
             std::exchange(enqueued, true))
             return;
         for (job_id job = 1; job <= jobs; ++job)
-            entry.placing.enqueue(queue_side::task(job));
+            entry.placing.enqueue(queue_fixture::task(job));
     }
 
     static constexpr job_id jobs = 4;
     bool enqueued = false;
     rpc_loop loop;
     idle_handler handler;
-    queue_side entry;
-    queue_side placer;
+    queue_fixture entry;
+    queue_fixture placer;
     placement_server placements{process_clock(), placer.placing, [] {}};
     entry_peers peers{loop.io(), process_clock(), handler, {}};
     std::unique_ptr<placement_groups> client;
@@ -320,24 +320,26 @@
 
 TEST_CASE("tasks of a group whose placer is silent go to the other group")
 {
-    two_placers_play play;
-    play.until(
-        2, [&] { return play.entry.orders.size() == two_placers_play::jobs; },
-        [&] { play.enqueue_once(); });
-    CHECK(play.client->groups() == 2);
-    CHECK(play.entry.placing.waiting() == 0);
+    two_placers_fixture fixture;
+    fixture.until(
+        2,
+        [&]
+        { return fixture.entry.orders.size() == two_placers_fixture::jobs; },
+        [&] { fixture.enqueue_once(); });
+    CHECK(fixture.client->groups() == 2);
+    CHECK(fixture.entry.placing.waiting() == 0);
     std::set<job_id> ordered;
-    for (const auto& order : play.entry.orders)
+    for (const auto& order : fixture.entry.orders)
         ordered.insert(order.run.task.job);
-    CHECK(ordered.size() == two_placers_play::jobs); // Each of them once.
+    CHECK(ordered.size() == two_placers_fixture::jobs); // Each of them once.
 }
 
 TEST_CASE("with one group the next placer takes over from a silent one")
 {
-    two_placers_play play;
-    play.until(
-        1, [&] { return play.client->placers() == "placer"; },
-        [&] { play.enqueue_once(); });
-    CHECK(play.client->groups() == 1);
-    CHECK(play.client->stats().failures >= 1);
+    two_placers_fixture fixture;
+    fixture.until(
+        1, [&] { return fixture.client->placers() == "placer"; },
+        [&] { fixture.enqueue_once(); });
+    CHECK(fixture.client->groups() == 1);
+    CHECK(fixture.client->stats().failures >= 1);
 }
--- a/tests/unit/durable/unseen_runs_tests.cpp
+++ b/tests/unit/durable/unseen_runs_tests.cpp
@@ -54,7 +54,8 @@
     {
         return {{0, 1}, {memory_part, 0}};
     }
-    duration room_gap(const std::string&, std::size_t) const override
+    duration room_report_interval(const std::string&,
+                                  std::size_t) const override
     {
         return milliseconds{1};
     }
--- a/tests/unit/hosting/job_handover_tests.cpp
+++ b/tests/unit/hosting/job_handover_tests.cpp
@@ -38,7 +38,8 @@
         return {};
     }
     std::vector<part_epoch> owned_parts() const override { return {}; }
-    duration room_gap(const std::string&, std::size_t) const override
+    duration room_report_interval(const std::string&,
+                                  std::size_t) const override
     {
         return seconds{1};
     }
--- a/tests/unit/runs/report_pacing_tests.cpp
+++ b/tests/unit/runs/report_pacing_tests.cpp
@@ -76,8 +76,8 @@
     busy.busy = true;
     report_marks placer;
     placer.places = true;
-    CHECK(pacing.heartbeat(busy, 55) == busy_heartbeat);
-    CHECK(pacing.heartbeat(placer, 55) == busy_heartbeat);
+    CHECK(pacing.heartbeat(busy, 55) == busy_report_interval);
+    CHECK(pacing.heartbeat(placer, 55) == busy_report_interval);
     busy.reported = begin;
     CHECK(pacing.is_due(busy, 55, begin + milliseconds{200}));
     CHECK_FALSE(
@@ -95,7 +95,7 @@
 {
     agent_clock clock;
     CHECK_FALSE(clock.at(begin).has_value());
-    clock.heard(seconds{500}, begin);
+    clock.on_report(seconds{500}, begin);
     CHECK(clock.at(begin) == instant{seconds{500}});
     // Two seconds later by this entry's clock, which may be the quicker one.
     const auto later = clock.at(begin + seconds{2});
@@ -103,7 +103,7 @@
     CHECK(*later <= seconds{500} + milliseconds{1960});
     CHECK(*later >= seconds{500} + milliseconds{1900});
     CHECK(clock.at(begin - seconds{1}) == instant{seconds{500}});
-    clock.forget();
+    clock.reset();
     CHECK_FALSE(clock.at(begin).has_value());
 }
 
@@ -127,11 +127,11 @@
     CHECK(budget.gap(6600) == seconds{1});
     const auto quick = budget.gap(70);
     for (int i = 0; i < 20; ++i)
-        budget.note_tick(milliseconds{30}); // A small machine, or a busy one.
+        budget.record_tick(milliseconds{30}); // A small machine, or a busy one.
     CHECK(budget.gap(70) > 4 * quick);
     CHECK(budget.gap(70) < milliseconds{500});
     for (int i = 0; i < 400; ++i)
-        budget.note_tick(milliseconds{1});
+        budget.record_tick(milliseconds{1});
     CHECK(budget.gap(70) == quick);
 }
 
