--- a/src/glenhollow/durable/agent_clock.hpp
+++ b/src/glenhollow/durable/agent_clock.hpp
@@ -9,31 +9,33 @@
 namespace glenhollow
 {
 
-/// The least that an agent's own clock can show at a moment of this entry: what
-/// it showed when the last report left, and the time since that report was
-/// here, less what clocks may differ. However long a message takes, the agent
-/// has not been earlier. So an order can carry a lease with it: it runs from
-/// the moment at which the order left, whenever it arrives. One thread.
+/// Lower bound of an agent's clock at a given moment of this entry's clock: the
+/// agent's time in its last report, plus the time since the report was
+/// received, less the possible clock drift. Network delay only lowers the
+/// bound. A lease sent with an order is counted from it, so that the lease runs
+/// from the time at which the order was sent, whenever it arrives. Not
+/// thread-safe.
 class agent_clock final
 {
 public:
-    /// @param sent When a report left, by the agent's clock.
-    /// @param received When it was taken, by this entry's.
+    /// Records the clock reading of a report.
+    /// @param sent The agent's clock when it sent the report.
+    /// @param received This entry's clock when it received the report.
     void on_report(instant sent, instant received)
     {
         agent_time_ = sent;
         received_ = received;
     }
 
-    /// The agent's process may be another one.
+    /// Discards the reading, since the agent may have restarted.
     void reset() { agent_time_ = {}; }
 
-    /// @param when A moment of this entry's clock, past the last report.
-    /// @return What the agent's clock shows then at least; nothing where no
-    /// report has come yet.
+    /// @param when A time of this entry's clock, not before the last report.
+    /// @return The earliest time that the agent's clock can show then; nothing
+    /// before the first report.
     std::optional<instant> at(instant when) const
     {
-        constexpr int drift = 25; // Clocks differ by a fiftieth, at most.
+        constexpr int drift = 25; // Allows for a drift of one part in 25.
         if (agent_time_.count() == 0)
             return std::nullopt;
         const auto elapsed = std::max(duration{0}, when - received_);
@@ -41,8 +43,9 @@
     }
 
 private:
-    instant agent_time_{}; ///< By the agent's clock; 0: not known.
-    instant received_{};   ///< By this entry's.
+    instant agent_time_{}; ///< The agent's clock in the last report; 0:
+                           ///< unknown.
+    instant received_{};   ///< This entry's clock when it was received.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/agent_sessions.cpp
+++ b/src/glenhollow/durable/agent_sessions.cpp
@@ -8,33 +8,37 @@
 namespace glenhollow
 {
 
-/// One agent's session.
+/// The session with one agent.
 struct agent_sessions::session
 {
-    std::string agent;                                 ///< Its name.
-    std::unique_ptr<rpc_link> link;                    ///< The connection.
-    kj::Maybe<wire::RunSession::Client> orders;        ///< Open while attached.
-    kj::Maybe<wire::RunAgent::Client> agent_interface; ///< The same.
-    std::uint64_t number = 0;            ///< Of the session, rising.
-    bool attached = false;               ///< It has been opened.
-    instant silent_since{};              ///< Unless it reports.
-    agent_clock clock;                   ///< As far as it is known.
-    std::uint64_t process = 0;           ///< Of the agent; 0: never attached.
-    std::uint64_t accounted_process = 0; ///< Which has told last what it runs
-                                         ///< for this entry's jobs in memory.
-    instant down_since{}; ///< When the last session ended.
+    std::string agent;
+    std::unique_ptr<rpc_link> link;
+    kj::Maybe<wire::RunSession::Client> orders; ///< Session at the agent while
+                                                ///< attached.
+    /// Interface of the agent while connected.
+    kj::Maybe<wire::RunAgent::Client> agent_interface;
+    std::uint64_t number = 0;  ///< Number of the session, increasing.
+    bool attached = false;     ///< Whether the session is open.
+    instant silent_since{};    ///< Time from which the agent counts as silent.
+    agent_clock clock;         ///< Lower bound of the agent's clock.
+    std::uint64_t process = 0; ///< Incarnation of the agent's process; 0: never
+                               ///< attached.
+    std::uint64_t accounted_process = 0; ///< Process that last listed its runs
+                                         ///< of this entry's jobs in memory.
+    instant down_since{}; ///< Time at which the last session ended.
 };
 
 namespace
 {
 
-/// A longer time without a session, and an agent may have forgotten ends that
-/// nobody asked for; it keeps them for 10 s (see run_manager_settings).
+/// The maximum gap between sessions over which an account can be complete.
+/// Agents discard ends that were not requested for 10 s (see
+/// run_manager_settings).
 constexpr duration max_session_gap = seconds{5};
 
 } // namespace
 
-/// The ear that an agent reports to.
+/// Receives the reports of an agent.
 class agent_sessions::report_server final : public wire::RunReports::Server
 {
 public:
@@ -63,9 +67,9 @@
     }
 
 private:
-    agent_sessions& sessions_; ///< Outlives the connection.
-    std::string agent_;        ///< Who reports.
-    std::uint64_t number_;     ///< Of the session.
+    agent_sessions& sessions_; ///< Must outlive the connection.
+    std::string agent_;        ///< Name of the agent.
+    std::uint64_t number_;     ///< Number of the session.
 };
 
 agent_sessions::agent_sessions(boost::asio::io_context& io,
@@ -161,13 +165,15 @@
     ended.agent_interface = nullptr;
     if (!std::exchange(ended.attached, false))
         return;
-    // Of its last word: this process may have stood still since.
+    // Counts from the agent's last report, since this process may have been
+    // paused.
     ended.down_since = std::min(clock_.now(), ended.silent_since);
     log_change(log_level::warning, "agent_detached", {{"agent", agent}});
     listener_.agent_detached(agent);
 }
 
-/// @return Whether the agent has told, or kept, all since its last account.
+/// @return Whether this account and the agent's reports since its last one
+/// cover all its runs: the process is the same and the gap was short.
 bool agent_sessions::is_account_complete(session& by)
 {
     const bool same =
@@ -243,8 +249,8 @@
         auto& since = known->second->silent_since;
         since = std::min(since, clock_.now());
         listener_.agent_ordered(agent);
-        // No later than silence counts from: what runs under this lease has
-        // ended by the time at which a silent agent is given up.
+        // The lease counts from no later than the agent's silence, so that runs
+        // under it have ended when a silent agent is given up.
         if (!batch.starts.empty())
             batch.leased_at =
                 known->second->clock.at(since).value_or(instant{});
@@ -268,7 +274,7 @@
     for (auto& [agent, one] : sessions_)
     {
         if (!listener_.places_at(agent))
-            continue; // Its next report is answered with what is wished.
+            continue; // The answer to its next report carries the pacing.
         KJ_IF_MAYBE (orders, one->orders)
         {
             auto request = orders->paceRequest();
--- a/src/glenhollow/durable/agent_sessions.hpp
+++ b/src/glenhollow/durable/agent_sessions.hpp
@@ -17,155 +17,150 @@
 namespace glenhollow
 {
 
-/// An agent and its address.
+/// The name and address of an agent.
 struct agent_address
 {
-    std::string name; ///< Of the agent.
-    host_port where;  ///< For links.
+    std::string name;
+    host_port where; ///< The address for connections.
 
     bool operator==(const agent_address&) const = default;
 };
 
-/// Told what agents say.
+/// Receives the events of agent sessions.
 class agent_session_listener
 {
 public:
     virtual ~agent_session_listener() = default;
 
-    /// @param agent Its session is open.
-    /// @param report What it said.
+    /// Called when a session has opened.
+    /// @param report The state that the agent reported.
     virtual void agent_attached(const std::string& agent,
                                 const runner_report& report) = 0;
 
-    /// @param agent Its session is gone.
+    /// Called when a session has ended.
     virtual void agent_detached(const std::string& agent) = 0;
 
-    /// @param agent An order has left for it, to which it will report.
+    /// Called when an order is sent, which the agent will answer with a report.
     virtual void agent_ordered(const std::string& agent) = 0;
 
-    /// @param agent It has adopted a part.
-    /// @param part Which, and under which epoch.
-    /// @param account What it knows of it.
+    /// Called when an agent has adopted a part.
+    /// @param part The part and its epoch.
+    /// @param account The runs and ends of the part that the agent knows.
     virtual void agent_adopted(const std::string& agent, part_epoch part,
                                const lease_account& account) = 0;
 
-    /// @param agent It reported.
-    /// @param report Its runner.
-    /// @param ends Runs that ended.
-    /// @param begun Runs that began.
+    /// Called when an agent has reported.
+    /// @param report The state of its backend server.
+    /// @param ends The runs that ended.
+    /// @param begun The runs that began.
     virtual void agent_reported(const std::string& agent,
                                 const runner_report& report,
                                 const std::vector<run_end>& ends,
                                 const std::vector<run_ref>& begun) = 0;
 
-    /// @param agent It waits for the answer to its report.
-    /// @return Ends that it need not keep any more.
+    /// @param agent An agent whose report is being answered.
+    /// @return Ends that the agent no longer needs to keep.
     virtual std::vector<run_end> take_confirmed(const std::string& agent) = 0;
 
     /// @return The parts that agents adopt for this entry.
     virtual std::vector<part_epoch> owned_parts() const = 0;
 
-    /// @return Of these, those whose leases a report renews now.
+    /// @return Those of the owned parts whose leases the answer to a report
+    /// renews.
     virtual std::vector<part_epoch> renewed_parts() const
     {
         return owned_parts();
     }
 
-    /// @param agent One that reports.
-    /// @param agents Agents that report.
-    /// @return The least time between two reports of its room.
+    /// @param agents The number of agents that report.
+    /// @return The minimum time between two capacity reports of the agent.
     virtual duration room_report_interval(const std::string& agent,
                                           std::size_t agents) const = 0;
 
-    /// @param agent One that reports.
-    /// @return Whether this entry places the tasks of others there.
+    /// @return Whether this entry places other entries' tasks at the agent.
     virtual bool places_for_others(const std::string& agent) const = 0;
 
-    /// @param agent One that reports.
-    /// @return Whether this entry places any tasks there by itself.
+    /// @return Whether this entry itself places tasks at the agent.
     virtual bool places_at(const std::string& agent) const = 0;
 
-    /// @param agent One that reports.
-    /// @return Whether its hall is evacuated, as far as this entry knows.
+    /// @return Whether the agent's hall is evacuated, as far as this entry
+    /// knows.
     virtual hall_evacuation evacuation_of(const std::string& agent) const = 0;
 };
 
-/// Between two reports of an agent that has runs of the entry, at most.
+/// Maximum time between two reports of an agent that has runs of the entry.
 inline constexpr duration busy_report_interval = milliseconds{200};
 
-/// From when on an agent counts as silent: one that has announced its next
-/// report for later is not missed before.
-/// @param heard When it reported.
-/// @param next_within What it announced.
-/// @return The begin of its silence, unless it reports again.
-constexpr instant silent_since(instant on_report, duration next_within)
+/// Returns the time from which an agent counts as silent. An agent that
+/// announced a later report is not missed before that.
+/// @param last_report The time of the agent's last report.
+/// @param next_within The time in which the agent announced its next report.
+/// @return The time from which it counts as silent, unless it reports again.
+constexpr instant silent_since(instant last_report, duration next_within)
 {
-    return on_report +
+    return last_report +
            std::max(duration{0}, next_within - busy_report_interval);
 }
 
-/// Limits of the sessions.
+/// Settings of the sessions.
 struct agent_sessions_settings
 {
-    std::string entry;                     ///< Name of this entry.
-    std::uint64_t incarnation = 0;         ///< Of this entry.
-    duration silence = milliseconds{1200}; ///< Without a report that is due:
-                                           ///< gone.
-    duration attach_timeout = seconds{3};  ///< For the answer of a new link;
-                                           ///< all attach at once when all
-                                           ///< have started.
-    rpc_link_settings link;                ///< Limits of the connections.
+    std::string entry;
+    std::uint64_t incarnation = 0; ///< Incarnation of this entry's process.
+    duration silence = milliseconds{1200}; ///< A session whose report is
+                                           ///< overdue by this long is
+                                           ///< dropped.
+    duration attach_timeout = seconds{3};  ///< Timeout for opening a session;
+                                           ///< long enough for all agents
+                                           ///< attaching at once.
+    rpc_link_settings link;                ///< Settings of the connections.
 };
 
-/// One session with each agent. Runs inside an rpc_loop.
+/// Holds one session with each agent. Runs inside an rpc_loop.
 class agent_sessions final : public order_sender
 {
 public:
-    /// @param io Runs them.
-    /// @param clock Outlives them.
-    /// @param listener Outlives them.
-    /// @param settings Limits.
+    /// @param io Runs the sessions.
+    /// @param clock Must outlive the sessions.
+    /// @param listener Receives the events; must outlive the sessions.
     agent_sessions(boost::asio::io_context& io, const clock_source& clock,
                    agent_session_listener& listener,
                    const agent_sessions_settings& settings);
     ~agent_sessions() noexcept override;
 
-    /// @param agent Its name.
-    /// @param where Its address.
+    /// Adds an agent, or opens a new session if its address has changed.
     void add(const std::string& agent, const host_port& where);
 
-    /// @param agent Is gone for good.
+    /// Ends the session with an agent that has left for good.
     void remove(const std::string& agent);
 
-    /// @param part Is this entry's from now on.
+    /// Has all agents adopt a part that this entry now owns.
     void adopt(part_epoch part);
 
     void send(const std::string& agent, order_batch batch) override;
 
-    /// Tells the agents at which this entry places that it needs their room.
+    /// Sends the report pacing to the agents at which this entry places tasks.
     void send_report_pacing();
 
-    /// Connects, and drops what is silent.
+    /// Opens connections and drops silent sessions.
     void tick();
 
-    /// Ends all sessions. Their calls live in the event loop and must not
-    /// outlast it.
+    /// Ends all sessions. Must be called while the event loop lives, since
+    /// their calls live in it.
     void close();
 
-    /// @param agent Its name.
-    /// @return Whether its session is open.
+    /// @return Whether the agent's session is open.
     bool is_attached(const std::string& agent) const;
 
-    /// Told the session with a host.
+    /// Receives the session with a job host.
     using host_handler = std::function<void(wire::JobHost::Client)>;
 
-    /// Asks an agent's process to host jobs of this entry.
-    /// @param agent Its name.
-    /// @param done Told the session; never, where the link breaks.
-    /// @return Whether it was asked.
+    /// Opens a session with the job host in an agent's process.
+    /// @param done Receives the session; not called if the connection breaks.
+    /// @return Whether the request was sent.
     bool open_host(const std::string& agent, host_handler done);
 
-    /// @return Agents with an open session, by last tick.
+    /// @return The number of agents with an open session as of the last tick.
     std::size_t attached() const { return attached_count_; }
 
 private:
@@ -182,13 +177,14 @@
     void on_report(const std::string& agent, std::uint64_t number,
                    wire::RunReport::Reader report);
 
-    boost::asio::io_context& io_;      ///< Runs them.
-    const clock_source& clock_;        ///< This entry's.
-    agent_session_listener& listener_; ///< Told.
-    agent_sessions_settings settings_; ///< Limits.
-    std::map<std::string, std::unique_ptr<session>> sessions_; ///< By agent.
-    std::size_t attached_count_ = 0; ///< By last tick.
-    std::uint64_t last_number_ = 0;  ///< Of sessions.
+    boost::asio::io_context& io_;
+    const clock_source& clock_;
+    agent_session_listener& listener_; ///< Receives the events.
+    agent_sessions_settings settings_;
+    /// Sessions by agent name.
+    std::map<std::string, std::unique_ptr<session>> sessions_;
+    std::size_t attached_count_ = 0; ///< Open sessions as of the last tick.
+    std::uint64_t last_number_ = 0;  ///< Number of the newest session.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/agent_view.cpp
+++ b/src/glenhollow/durable/agent_view.cpp
@@ -18,7 +18,7 @@
 {
     linked_ = true;
     if (report.account.life() != report_.account.life())
-        pace_ = 1.0; // It may be of another kind.
+        pace_ = 1.0; // The new backend server may be of another kind.
     report_ = report;
     in_flight_.clear();
     granted_.clear();
@@ -132,7 +132,7 @@
     ++ejections_;
     ejected_until_ = now + std::min(settings.base_ejection * ejections_,
                                     settings.max_ejection);
-    // On probation: one more bad end is enough, some good ones clear it.
+    // One more bad end ejects the server again, good ends clear it.
     average_bad_ends_ = settings.ejection_threshold;
     return true;
 }
--- a/src/glenhollow/durable/agent_view.hpp
+++ b/src/glenhollow/durable/agent_view.hpp
@@ -17,97 +17,97 @@
 namespace glenhollow
 {
 
-/// Limits of the judgement on a runner by the ends of its runs.
+/// Settings of the ejection of backend servers whose runs fail often.
 struct outlier_ejection_settings
 {
-    double weight = 0.12;             ///< Of one more end in the average.
-    double ejection_threshold = 0.45; ///< Share of bad ends.
-    std::uint32_t min_ends = 4;       ///< Before any judgement.
-    duration base_ejection = milliseconds{1500}; ///< The first time.
-    duration max_ejection = seconds{6};          ///< After repeated ejections.
+    double weight = 0.12; ///< Weight of the newest end in the moving average.
+    double ejection_threshold = 0.45; ///< Average share of bad ends from which
+                                      ///< a server is ejected.
+    std::uint32_t min_ends = 4; ///< Ends needed before a server may be ejected.
+    duration base_ejection = milliseconds{1500}; ///< Duration of the first
+                                                 ///< ejection.
+    duration max_ejection = seconds{6}; ///< Maximum duration after repeated
+                                        ///< ejections.
 };
 
-/// What an entry knows of one agent and its runner.
+/// The view that an entry has of one agent and its backend server.
 class agent_view final
 {
 public:
-    /// @param name Of the agent.
-    /// @param tie_breaker Random, for agents that rank alike.
+    /// @param name The name of the agent.
+    /// @param tie_breaker Random number that orders agents of equal rank.
     explicit agent_view(std::string name, std::uint64_t tie_breaker = 0)
         : name_(std::move(name)), tie_breaker_(tie_breaker)
     {
     }
 
-    /// @return The agent's name.
     const std::string& name() const { return name_; }
 
-    /// @return Random; orders agents that rank alike.
+    /// @return The random number that orders agents of equal rank.
     std::uint64_t tie_breaker() const { return tie_breaker_; }
 
-    /// A session is open.
-    /// @param report What it said then.
+    /// Starts a session.
+    /// @param report The state that the agent reported.
     void attached(const runner_report& report);
 
-    /// The session is gone.
+    /// Ends the session.
     void detached();
 
-    /// @param report Its latest word.
+    /// Takes over a report.
     void reported(const runner_report& report);
 
-    /// @param until The runner is slow from its start until then.
+    /// @param until The time until which the backend server is slow after its
+    /// start.
     void set_cold_until(instant until) { cold_until_ = until; }
 
-    /// Orders leave in one batch.
-    /// @param needs What its starts take together.
+    /// Records that the outbox was sent in one batch.
+    /// @param needs The sum of the resources that its starts take.
     void sent(const resources& needs);
 
-    /// A start joins the batch that will leave next.
-    /// @param needs What it takes.
+    /// Reserves resources for a start in the outbox.
+    /// @param needs The resources of the task.
     void reserve(const resources& needs)
     {
         reserved_.add(needs);
         pending_.add(needs);
     }
 
-    /// Room was granted to a task of another entry, whose order is on its way.
-    /// @param number Of the grant.
-    /// @param needs What the task takes.
-    /// @param now The time.
+    /// Reserves resources for a grant to another entry, whose order is
+    /// expected.
+    /// @param needs The resources of the task.
     void grant(std::uint32_t number, const resources& needs, instant now);
 
-    /// @param number Of a grant that will not be used.
+    /// Frees the resources of a grant that was used or will not be used.
     void revoke(std::uint32_t number);
 
-    /// @param number Of a grant.
-    /// @param now The time.
-    /// @return How long ago it was made; nothing where it is not known.
+    /// @return The age of the grant; nothing if it is unknown.
     std::optional<duration> grant_age(std::uint32_t number, instant now) const;
 
-    /// @param entry Another entry, which has no session with this agent.
-    /// @param until When it may have one again.
+    /// Gives no grants to an entry that has no session with this agent.
+    /// @param until The end of the block.
     void block(entry_number entry, instant until) { blocked_[entry] = until; }
 
-    /// @param entry An entry, 0: this one.
-    /// @param now The time.
-    /// @return Whether it lacked a session with this agent lately.
+    /// @param entry The number of an entry; 0: this entry.
+    /// @return Whether the entry is blocked.
     bool blocked(entry_number entry, instant now) const;
 
-    /// @return Whether its session is open.
+    /// @return Whether the session with the agent is open.
     bool linked() const { return linked_; }
 
-    /// @return What the runner says of itself.
+    /// @return The description of the backend server.
     const runner_account& account() const { return report_.account; }
 
-    /// @return Taken, by the agent's account and what is on its way.
+    /// @return The resources in use: those that the agent reported and those of
+    /// orders and grants that it has not yet seen.
     resources used() const;
 
-    /// @return All its cores.
+    /// @return All cores of the backend server.
     double cores() const
     {
         return account().capacity.cpu / millicores_per_core;
     }
 
-    /// @return Those of them that nothing takes.
+    /// @return The cores that are not in use.
     double free_cores() const
     {
         const auto all = account().capacity.cpu;
@@ -115,77 +115,80 @@
     }
 
     /// @param needs What a task takes.
-    /// @return Whether there is room for it.
+    /// @return Whether enough resources are free for the task.
     bool has_room(const resources& needs) const;
 
-    /// @param label A label, may be empty.
-    /// @return Whether the runner has it, or none is asked for.
+    /// @param label A label; may be empty.
+    /// @return Whether the backend server has the label, or the label is empty.
     bool has_label(const std::string& label) const;
 
-    /// @param bad Whether a run ended badly.
-    /// @param now The time.
-    /// @param settings Limits.
-    /// @return Whether the runner was ejected by it.
+    /// Records the end of a run.
+    /// @param bad Whether the run failed or was stopped.
+    /// @return Whether the backend server was ejected because of this end.
     bool record_end(bool bad, instant now,
                     const outlier_ejection_settings& settings);
 
-    /// @param ratio Time of a run over its estimate.
+    /// Records the pace of a run.
+    /// @param ratio Its run time divided by its estimate.
     void record_pace(double ratio);
 
-    /// @param now The time.
-    /// @return Whether it gets no work because of bad ends.
+    /// @return Whether the backend server is ejected.
     bool ejected(instant now) const { return now < ejected_until_; }
 
-    /// @return Time of runs over their estimates: by its agent, which sees all
-    /// of them, or until it knows by those of this entry's tasks.
+    /// @return The average run time divided by the estimate, as the agent
+    /// reports it over all entries' runs; until it does, the average of this
+    /// entry's runs.
     double pace() const
     {
         return report_.room.pace > 0 ? report_.room.pace : pace_;
     }
 
-    /// @param now The time.
-    /// @return Whether the runner is slow from its start still.
+    /// @return Whether the backend server is still slow after its start.
     bool cold(instant now) const { return now < cold_until_; }
 
-    /// @return Whether the runner has told when it leaves.
+    /// @return Whether the backend server has announced that it leaves.
     bool leaving() const { return report_.room.leaves_in.has_value(); }
 
-    std::set<part_number> adopted; ///< Parts whose runs there are known.
-    order_batch outbox;            ///< Leaves with the next flush.
-    bool hot = false;              ///< Much work prefers this runner.
-    bool in_own_group = true;      ///< In the group that this entry places on.
+    std::set<part_number> adopted; ///< Parts that the agent has adopted.
+    order_batch outbox;            ///< Orders to send with the next flush.
+    bool hot = false; ///< Whether much work prefers a label of this backend
+                      ///< server.
+    bool in_own_group = true; ///< Whether this entry places tasks at it.
 
 private:
-    /// A batch that the agent has not seen yet.
+    /// A batch that the agent has not yet acknowledged.
     struct in_flight_batch
     {
-        std::uint64_t number = 0; ///< Of the session.
-        resources needs;          ///< Of its starts.
+        std::uint64_t number = 0; ///< Number of the batch in the session.
+        resources needs;          ///< Resources of its starts.
     };
 
-    /// Room that another entry's order will take.
+    /// Resources granted to another entry's task.
     struct granted_room
     {
-        resources needs;      ///< Of the task.
-        instant granted_at{}; ///< When.
+        resources needs; ///< Resources of the task.
+        instant granted_at{};
     };
 
-    std::string name_;                      ///< Of the agent.
-    std::uint64_t tie_breaker_;             ///< Order among like ones.
-    bool linked_ = false;                   ///< Its session is open.
-    runner_report report_;                  ///< Its latest word.
-    std::deque<in_flight_batch> in_flight_; ///< On their way.
-    resources reserved_;                    ///< In the outbox.
-    resources pending_; ///< In the outbox, flying or granted: these together.
-    std::map<std::uint32_t, granted_room> granted_; ///< By number.
-    std::map<entry_number, instant> blocked_; ///< Entries without a session.
-    std::uint64_t batches_ = 0;               ///< Sent in this session.
-    double average_bad_ends_ = 0;             ///< Average of bad ends.
-    std::uint32_t ends_ = 0;      ///< Counted since the last ejection.
-    std::uint32_t ejections_ = 0; ///< In a row.
-    instant ejected_until_{};     ///< No work until then.
-    double pace_ = 1.0;           ///< Average time over estimate.
-    instant cold_until_{};        ///< Slow from its start until then.
+    std::string name_;
+    std::uint64_t tie_breaker_; ///< Order among agents of equal rank.
+    bool linked_ = false;
+    runner_report report_;                  ///< The latest report.
+    std::deque<in_flight_batch> in_flight_; ///< Batches not yet acknowledged.
+    resources reserved_; ///< Resources of starts in the outbox.
+    resources pending_;  ///< Sum of the resources in the outbox, in flight and
+                         ///< granted.
+    std::map<std::uint32_t, granted_room> granted_; ///< Grants by number.
+    std::map<entry_number, instant> blocked_; ///< End of the block of entries
+                                              ///< without a session.
+    std::uint64_t batches_ = 0;               ///< Batches sent in this session.
+    double average_bad_ends_ = 0;             ///< Moving average of bad ends.
+    std::uint32_t ends_ = 0;
+    std::uint32_t ejections_ = 0; ///< Ejections in a row.
+    instant ejected_until_{};
+    double pace_ = 1.0; ///< Average of run time over estimate in this entry's
+                        ///< runs.
+    instant cold_until_{};
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/delegated_tasks.cpp
+++ b/src/glenhollow/durable/delegated_tasks.cpp
@@ -57,7 +57,7 @@
     return out;
 }
 
-/// A task that the placer has not been told of need not be withdrawn.
+/// A task that has not been sent to the placer need not be withdrawn there.
 void delegated_tasks::queue_withdrawal(placer_number placer,
                                        const task_ref& task)
 {
--- a/src/glenhollow/durable/dispatcher.cpp
+++ b/src/glenhollow/durable/dispatcher.cpp
@@ -14,11 +14,11 @@
 {
 
 constexpr double micros_per_ms = 1000.0;
-constexpr double pace_classes_per_doubling = 2.0; // For a factor of two.
+constexpr double pace_classes_per_doubling = 2.0;
 constexpr double taken_classes = 4.0;
 
-/// Classes are wide enough that servers of one speed mostly share theirs, and
-/// 1 lies in the middle of one.
+/// Classes are wide enough that most servers of equal speed share one; 1 lies
+/// in the middle of a class.
 int pace_class(double pace)
 {
     return static_cast<int>(
@@ -52,7 +52,8 @@
     known->second.set_cold_until(clock_.now() + report.room.cold);
 }
 
-/// The placing of each task walks over these alone.
+/// Updates the agents at which this entry places tasks, so that placing a task
+/// visits only these.
 void dispatcher::update_own_agents()
 {
     own_agents_.clear();
@@ -124,7 +125,7 @@
     const double expected_ms =
         step.estimate_ms *
         (view.has_label(step.preferred_label) ? 1.0 : settings_.far_factor);
-    // Stopped because its runner leaves, it says nothing of the runner.
+    // A stop because the server leaves says nothing about its health.
     if (end.outcome == run_outcome::stopped && view.leaving())
         return;
     if (end.outcome == run_outcome::done && expected_ms > 0 &&
@@ -224,7 +225,7 @@
     return &known->second;
 }
 
-/// What is put there leaves with the next flush.
+/// Returns the outbox of an agent, which the next flush sends.
 order_batch& dispatcher::outbox_of(agent_view& agent)
 {
     if (agent.outbox.empty())
@@ -232,8 +233,8 @@
     return agent.outbox;
 }
 
-/// An agent carries out the stops of a message before its starts: an order that
-/// has not left yet, by a grant, leaves before its stop.
+/// An agent handles the stops of a batch before its starts, so an unsent start
+/// is sent in an earlier batch than its stop.
 void dispatcher::stop(const std::string& agent, const run_ref& run)
 {
     auto* known = linked_agent(agent);
@@ -282,8 +283,8 @@
     out.hot = agent.hot && (out.far || task.preferred_label.empty());
     const double taken =
         agent.used().cpu / std::max(1.0, 1.0 * agent.account().capacity.cpu);
-    // Other entries place there too, and this view of it is not of now.
-    out.crowded = taken > settings_.crowded;
+    // Other entries place there too, and this view may be outdated.
+    out.crowded = taken > settings_.crowded_threshold;
     out.cold = agent.cold(clock_.now());
     const double longer = out.far ? settings_.far_factor : 1.0;
     if (settings_.order == server_order::earliest_end)
@@ -295,8 +296,8 @@
     return out;
 }
 
-/// Far from its data a task takes longer, and takes room from others for so
-/// long: only if it ends in time there all the same, or is late anyway.
+/// Decides whether a task without its preferred label may take room there: it
+/// takes longer, so only if it still ends in time or is late anyway.
 bool dispatcher::is_far_acceptable(const agent_view& agent, const rank& far,
                                    const ready_task& task) const
 {
@@ -311,8 +312,8 @@
            task.start_by;
 }
 
-/// Under overload hardly any agent has room at any moment: only these few are
-/// ranked for each task that waits.
+/// Lists the agents with room for any task of the queue. Under overload these
+/// are few, and only they are ranked for each task.
 std::vector<agent_view*>
 dispatcher::agents_with_room(const service_queue& queue)
 {
@@ -328,8 +329,8 @@
     return available;
 }
 
-/// The quickest runner with room to spare; among like ones the emptiest; among
-/// those, each entry has an order of its own, lest all go to one at once.
+/// Chooses the backend server of the best rank. Servers of equal rank have a
+/// random order at each entry, so that entries do not all choose the same one.
 agent_view* dispatcher::choose(const ready_task& task,
                                const std::vector<agent_view*>& available)
 {
@@ -347,7 +348,8 @@
     }
     if (best == nullptr)
         return nullptr;
-    // An ejected runner gets nothing while another could, even if it waits.
+    // An ejected server gets no tasks while another one takes work, even if the
+    // task has to wait.
     if (best_rank.ejected && ready_cores(task.service) > 0)
         return nullptr;
     if (best_rank.far && has_near_agent(task) &&
@@ -360,7 +362,8 @@
     return best;
 }
 
-/// @return Whether some agent has the preferred label, with room or without.
+/// @return Whether any agent that takes the task has the preferred label, with
+/// or without room.
 bool dispatcher::has_near_agent(const ready_task& task) const
 {
     const auto now = clock_.now();
@@ -374,7 +377,7 @@
                        });
 }
 
-/// Marks the runners whose label much of the work prefers.
+/// Marks the backend servers whose label much of the work prefers.
 void dispatcher::mark_hot()
 {
     const auto now = clock_.now();
@@ -386,12 +389,12 @@
         agent.hot = false;
     if (!any_hot_)
         return;
-    // Every owner sees its own share of the work, but for a placer.
+    // An owner sees only its own share of the work; a placer sees all of it.
     const double share = foreign_waiting_ > 0 ? 1.0 : owners();
     std::map<std::string, double> cores;
     for (const auto& [name, agent] : agents_)
     {
-        // One that takes no work has no room to leave to others.
+        // A server that takes no work has no room to keep free.
         if (!agent.in_own_group || agent.account().phase != runner_phase::ready)
             continue;
         for (const auto& label : agent.account().labels)
@@ -401,10 +404,12 @@
     {
         for (const auto& label : agent.account().labels)
             agent.hot |= demand_.cores(label, now) * share >
-                         settings_.hot * cores[label];
+                         settings_.hot_threshold * cores[label];
     }
 }
 
+/// @return Whether a task has no more candidates than one that could not be
+/// placed, so that it need not be tried.
 bool dispatcher::is_no_easier(const ready_task& task,
                               const ready_task& unplaced) const
 {
@@ -417,9 +422,9 @@
            task.preferred_label == unplaced.preferred_label;
 }
 
-/// A late job earns little; what it takes is missing for as long as its tasks
-/// run when tasks come that can still be in time.
-/// @return Cores that late jobs may begin on now, all together.
+/// Keeps a share of the cores free of late jobs, for tasks that can still be in
+/// time when they arrive.
+/// @return The total number of cores on which late jobs may begin now.
 double dispatcher::cores_for_late(const std::string& service) const
 {
     if (settings_.late_reserve <= 0)
@@ -436,10 +441,11 @@
         stats_.rounds_without_room += queue.tasks.empty() ? 0 : 1;
         return;
     }
-    std::vector<ready_task> unplaced;  // A task of each kind that fits nowhere.
-    std::vector<queue_key> to_promote; // Of jobs that have begun.
-    std::optional<double>
-        cores_left_for_late; // Cores that late tasks may take.
+    std::vector<ready_task> unplaced;  // One task of each kind without a
+                                       // suitable server.
+    std::vector<queue_key> to_promote; // Tasks of jobs that have begun.
+    // Cores on which late tasks may start.
+    std::optional<double> cores_left_for_late;
     auto at = queue.tasks.begin();
     while (at != queue.tasks.end() &&
            unplaced.size() < settings_.max_unplaceable)
@@ -447,14 +453,15 @@
         const auto here = at++;
         const auto& waiting = here->second;
         const bool late = here->first.rank == queue_class::late;
-        if (late && !cores_left_for_late) // All in time have had their turn.
+        if (late && !cores_left_for_late) // All tasks in time have been tried.
             cores_left_for_late = cores_for_late(waiting.service);
         if (late &&
             waiting.needs.cpu / millicores_per_core > *cores_left_for_late)
-            break; // Nor may those behind it.
+            break; // Later tasks must not start either.
         if (here->first.rank == queue_class::in_time &&
             queue.jobs.at(job_key(waiting)).begun)
-            to_promote.push_back(here->first); // Unless it is placed below.
+            to_promote.push_back(here->first); // Removed again if the task is
+                                               // placed below.
         if (std::any_of(unplaced.begin(), unplaced.end(),
                         [this, &waiting](const ready_task& one)
                         { return is_no_easier(waiting, one); }))
@@ -485,8 +492,10 @@
         ++stats_.rounds_without_room;
 }
 
-/// @param grant Number of the placer's grant; 0: this entry chose the agent.
-/// @return Whether the task was still to be run.
+/// Orders the start of a task at an agent.
+/// @param grant The number of the placer's grant; 0: this entry chose the
+/// agent.
+/// @return Whether the task still had to run.
 bool dispatcher::order_start(const ready_task& task, agent_view& agent,
                              std::uint64_t placer, std::uint32_t grant)
 {
@@ -515,8 +524,8 @@
     flush();
 }
 
-/// Only agents that have something to be told are looked at: an event costs
-/// the same however many agents there are.
+/// Sends the outboxes. Only agents with orders are visited, so that the cost
+/// does not grow with the number of agents.
 void dispatcher::flush()
 {
     for (const auto& name : std::exchange(unsent_, {}))
@@ -543,7 +552,7 @@
     const auto known = queues_.find(service);
     if (known == queues_.end())
         return delegated * owners();
-    // Every entry has its own share of the work, but for a placer's.
+    // An entry sees only its own share of the work; a placer sees all of it.
     return foreign_waiting_ > 0
                ? known->second.work
                : (known->second.own_work + delegated) * owners();
--- a/src/glenhollow/durable/dispatcher_overload.cpp
+++ b/src/glenhollow/durable/dispatcher_overload.cpp
@@ -1,4 +1,4 @@
-// The order of the queue when there is more work than room.
+// Order of the queue while more work waits than there is room for.
 #include "glenhollow/durable/dispatcher.hpp"
 
 #include <utility>
@@ -9,21 +9,22 @@
 namespace
 {
 
-constexpr double min_backlog_core_ms = 1.0; // Core-milliseconds.
+constexpr double min_backlog_core_ms = 1.0;
 
 } // namespace
 
-/// A job that will miss its objective is worth the same a while later, so it
-/// must not make others miss theirs. One that has begun is finished all the
-/// same: given up, it would leave its caller without an answer.
+/// Moves late tasks behind those in time. A late job loses nothing more by
+/// waiting, so it must not make others late. The rest of a job that has begun
+/// is moved to the front instead, since its caller would otherwise get no
+/// answer.
 void dispatcher::separate_late_tasks(service_queue& queue)
 {
     const auto now = clock_.now();
     std::vector<queue_key> late;
-    std::vector<queue_key> rest; // Of jobs that have begun.
+    std::vector<queue_key> rest; // Tasks of jobs that have begun.
     auto at =
         queue.tasks.lower_bound({queue_class::in_time, instant::min(), 0});
-    // The most urgent come first.
+    // Tasks are ordered by urgency.
     for (; at != queue.tasks.end() && at->first.rank == queue_class::in_time &&
            latest_start(at->second) < now;
          ++at)
@@ -34,7 +35,7 @@
     move_to_late(queue, late);
 }
 
-/// Under overload some jobs go behind all others before they are late.
+/// Demotes jobs under overload before they are late.
 void dispatcher::demote(service_queue& queue)
 {
     std::vector<waiting_task> tasks;
@@ -76,7 +77,7 @@
     }
 }
 
-/// Jobs that began late are finished before others begin.
+/// Moves jobs that began late ahead of late jobs that have not begun.
 void dispatcher::promote_late_begun(service_queue& queue)
 {
     std::vector<queue_key> keys;
@@ -90,7 +91,7 @@
     move_to_late(queue, keys);
 }
 
-/// Looks over the queues each while.
+/// Updates marks, rates and demotions once per review interval.
 void dispatcher::review()
 {
     const auto now = clock_.now();
@@ -106,7 +107,7 @@
     }
 }
 
-/// The rest of a job that has begun goes before others in time.
+/// Moves the rest of jobs that have begun ahead of other tasks in time.
 void dispatcher::promote(service_queue& queue,
                          const std::vector<queue_key>& keys)
 {
--- a/src/glenhollow/durable/dispatcher_sharing.cpp
+++ b/src/glenhollow/durable/dispatcher_sharing.cpp
@@ -1,4 +1,5 @@
-// One queue for several entries: tasks of others here, ours at their placer.
+// Shared placement: tasks of other entries in this queue, and this entry's
+// tasks at placers.
 #include "glenhollow/durable/dispatcher.hpp"
 
 #include <algorithm>
@@ -7,10 +8,12 @@
 namespace glenhollow
 {
 
-/// The same job may wait at two entries: its caller has sent it again.
+/// The key of a job includes its entry, since a caller may send the same job to
+/// two entries.
 job_id dispatcher::job_key(const ready_task& task)
 {
-    constexpr std::uint64_t odd = 0x9E3779B97F4A7C15; // Spreads the numbers.
+    // Odd constant that spreads entry numbers over all bits.
+    constexpr std::uint64_t odd = 0x9E3779B97F4A7C15;
     return task.task.job ^ (task.entry * odd);
 }
 
@@ -25,7 +28,7 @@
     ++stats_.granted;
 }
 
-/// Frees the room of grants whose orders never came.
+/// Frees the room of grants whose orders did not arrive in time.
 void dispatcher::expire_grants()
 {
     const auto now = clock_.now();
@@ -67,12 +70,12 @@
     known->second.block(entry, blocked_until_);
 }
 
-/// Under overload every task starts at its last moment, and what its order
-/// takes on the way makes it late.
+/// Averages the time from a grant to the arrival of its order. Under overload
+/// tasks start as late as possible, so that this delay would make them late.
 void dispatcher::record_grant_delay(const agent_view& agent,
                                     const std::vector<std::uint32_t>& granted)
 {
-    constexpr int weight = 16; // Of the newest: one sixteenth.
+    constexpr int weight = 16; // The newest age counts one sixteenth.
     for (const auto number : granted)
     {
         const auto age = agent.grant_age(number, clock_.now());
@@ -83,7 +86,7 @@
     }
 }
 
-/// Tasks of one job wait at one placer.
+/// Selects the placer of a task. All tasks of a job wait at one placer.
 placer_number dispatcher::placer_for(const ready_task& task)
 {
     if (selector_ == nullptr)
@@ -165,7 +168,8 @@
     if (agent == agents_.end() || !can_order(agent->second, wanted))
     {
         if (waiting != nullptr)
-            delegated_.requeue(grant.task); // Its placer has forgotten it.
+            delegated_.requeue(grant.task); // The placer dropped it with the
+                                            // grant.
         return grant_verdict::unreachable;
     }
     const auto task =
@@ -178,7 +182,7 @@
                : grant_verdict::not_wanted;
 }
 
-/// Other tasks of its job may wait here or at a placer.
+/// Marks the job as begun, whose other tasks may wait here or at a placer.
 void dispatcher::mark_begun(const ready_task& task)
 {
     delegated_.mark_begun(task.task.job);
--- a/src/glenhollow/durable/durable_placement.cpp
+++ b/src/glenhollow/durable/durable_placement.cpp
@@ -1,4 +1,5 @@
-// Who places this entry's tasks, and how often agents report to it.
+// Selection of the placers of this entry's tasks, and the pacing of agents'
+// reports.
 #include "glenhollow/durable/durable_service.hpp"
 
 #include <algorithm>
@@ -10,17 +11,18 @@
 namespace
 {
 
-/// While room is told to another entry that places, this one needs it only to
-/// be ready to place by itself; so many reports a second in all.
+/// Limits of capacity reports that serve only as a fallback, while another
+/// entry places this entry's tasks.
 constexpr duration min_idle_report_interval = milliseconds{150};
 constexpr duration max_idle_report_interval = seconds{2};
 constexpr double idle_reports_per_second = 50;
 
-/// Timers this late on average make an entry a bad placer; much of a short
-/// task's slack would go by. They must be well below it again to come back.
+/// An entry whose timers are this late on average must not be a placer, since
+/// short tasks would lose much of their slack. The lower value lets it be one
+/// again.
 constexpr duration untimely_lag = milliseconds{12};
 constexpr duration timely_lag = milliseconds{5};
-constexpr int lag_weight = 8; // Newest tick: one eighth.
+constexpr int lag_weight = 8; // The newest tick counts one eighth.
 
 } // namespace
 
@@ -48,8 +50,9 @@
                                     max_idle_report_interval));
 }
 
-/// One entry places all tasks of a group of agents, so that the most urgent one
-/// of all is the first to get room, wherever its caller's connection ended up.
+/// Selects the placer of each group of agents. It places the tasks of all
+/// entries there, so that the most urgent one gets room first, whichever entry
+/// its caller is connected to.
 void durable_service::choose_placer()
 {
     if (!settings_.share_placement)
@@ -70,7 +73,7 @@
     }
     groups_.choose(candidates);
     groups_.flush();
-    // Agents know this entry as one that hardly needs their room.
+    // Agents still report at the slow rate for an entry that does not place.
     const bool places =
         placements_.active() || (!groups_.delegates() && !hands_all_over());
     if (places && !std::exchange(placing_, places))
--- a/src/glenhollow/durable/evacuated_halls.hpp
+++ b/src/glenhollow/durable/evacuated_halls.hpp
@@ -8,22 +8,23 @@
 namespace glenhollow
 {
 
-/// Whether a hall gets no new work.
+/// Whether a hall is evacuated, so that its backend servers get no new work.
 struct hall_evacuation
 {
-    bool evacuated = false;    ///< It gets none.
-    std::uint64_t version = 0; ///< Of the store, when it was so; 0: unknown.
+    bool evacuated = false;
+    std::uint64_t version = 0; ///< The store's version as of which this is
+                               ///< known; 0: unknown.
 };
 
 /// The halls whose backend servers get no new work, as of one version of the
-/// store. Entries read it there or learn it from each other; a later version
-/// replaces an earlier one, never the reverse.
+/// store. Entries read them from the store or from each other. Only a later
+/// version replaces an earlier one.
 class evacuated_halls final
 {
 public:
-    /// A row of the store was read or has changed.
-    /// @param hall Which hall the row is about.
-    /// @param evacuated Whether the row is there.
+    /// Applies a row of the store that was read or has changed. The result
+    /// takes effect with complete().
+    /// @param evacuated Whether the row exists.
     void note(const std::string& hall, bool evacuated)
     {
         if (evacuated)
@@ -32,15 +33,16 @@
             pending_.erase(hall);
     }
 
-    /// All rows up to a version were noted.
-    /// @param version The store's.
-    /// @return Whether other halls are evacuated now.
+    /// Makes the noted rows current. All rows up to the version must have been
+    /// noted.
+    /// @param version The store's version.
+    /// @return Whether the set of evacuated halls has changed.
     bool complete(std::uint64_t version) { return take(version, pending_); }
 
-    /// Another entry has told what it knows.
-    /// @param version The store's, when it was so.
-    /// @param halls That were evacuated.
-    /// @return Whether other halls are evacuated now.
+    /// Merges the view of another entry.
+    /// @param version The store's version as of which the halls are known.
+    /// @param halls The evacuated halls as of that version.
+    /// @return Whether the set of evacuated halls has changed.
     bool take(std::uint64_t version, const std::set<std::string>& halls)
     {
         if (version <= version_)
@@ -51,21 +53,20 @@
         return changed;
     }
 
-    /// @param other What another entry has told.
-    /// @return Whether other halls are evacuated now.
+    /// @param other The view of another entry.
+    /// @return Whether the set of evacuated halls has changed.
     bool take(const evacuated_halls& other)
     {
         return take(other.version_, other.halls_);
     }
 
-    /// @return The store's version when it was so; 0: nothing is known.
+    /// @return The store's version as of which the halls are known; 0: unknown.
     std::uint64_t version() const { return version_; }
 
-    /// @return The evacuated halls.
     const std::set<std::string>& halls() const { return halls_; }
 
-    /// @param hall A hall; empty: not known, and nothing is said of it.
-    /// @return Whether it is evacuated, as of which version.
+    /// @param hall The hall; empty: unknown, so that its state is unknown.
+    /// @return The state of the hall with the version of this view.
     hall_evacuation of(const std::string& hall) const
     {
         if (hall.empty())
@@ -73,17 +74,17 @@
         return {contains(hall), version_};
     }
 
-    /// @param hall A hall.
-    /// @return Whether it is evacuated.
+    /// @return Whether the hall is evacuated.
     bool contains(const std::string& hall) const
     {
         return halls_.contains(hall);
     }
 
 private:
-    std::uint64_t version_ = 0;     ///< Of the store.
-    std::set<std::string> halls_;   ///< As of that version.
-    std::set<std::string> pending_; ///< As noted so far.
+    std::uint64_t version_ = 0;     ///< The store's version.
+    std::set<std::string> halls_;   ///< Evacuated halls as of that version.
+    std::set<std::string> pending_; ///< Evacuated halls by the rows noted so
+                                    ///< far.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/exchange_pacing.hpp
+++ b/src/glenhollow/durable/exchange_pacing.hpp
@@ -9,30 +9,31 @@
 namespace glenhollow
 {
 
-/// How often two entries exchange views.
+/// Settings for the exchange of views between entries.
 struct exchange_pacing_settings
 {
-    duration interval = milliseconds{250}; ///< Between exchanges with one.
-    duration per_peer_interval =
-        milliseconds{10};                  ///< The same for each other entry:
-                                           ///< 100 a second in all, at most.
-    duration silence = milliseconds{1000}; ///< Without one: not live; more
+    duration interval = milliseconds{250}; ///< Minimum time between exchanges
+                                           ///< with one peer.
+    /// Interval per other entry, which limits the total to 100 exchanges per
+    /// second.
+    duration per_peer_interval = milliseconds{10};
+    duration silence = milliseconds{1000}; ///< A peer without an exchange for
+                                           ///< this long is not live; longer
                                            ///< where exchanges are rarer.
 };
 
-/// Decides when entries exchange views, so that what an entry spends on the
-/// others does not grow with their number.
+/// Decides when entries exchange views, such that the total rate of an entry's
+/// exchanges does not grow with the number of peers.
 class exchange_pacing final
 {
 public:
-    /// @param settings Limits.
     explicit exchange_pacing(const exchange_pacing_settings& settings)
         : settings_(settings)
     {
     }
 
-    /// @param peers Other entries.
-    /// @return Between two exchanges with one of them.
+    /// @param peers The number of other entries.
+    /// @return The time between two exchanges with one peer.
     duration interval(std::size_t peers) const
     {
         const auto shared =
@@ -40,21 +41,21 @@
         return std::max(settings_.interval, shared);
     }
 
-    /// @param peers Other entries.
-    /// @return Without an exchange for so long, one is not live.
+    /// @param peers The number of other entries.
+    /// @return The time without an exchange after which a peer is not live.
     duration silence(std::size_t peers) const
     {
-        constexpr int intervals = 3; // Two exchanges may fail.
+        constexpr int intervals = 3; // Tolerates two failed exchanges in a row.
         return std::max(settings_.silence, intervals * interval(peers));
     }
 
-    /// An exchange tells both sides, so one of the two begins it; the other
-    /// one does so only if none has come.
-    /// @param first Whether this side begins.
-    /// @param since The last exchange, begun by either side.
-    /// @param peers Other entries.
-    /// @param now The time.
-    /// @return Whether this side begins one now.
+    /// Decides whether to start an exchange. An exchange carries both views, so
+    /// that one of the two entries starts it; the other one does so only if
+    /// none has come.
+    /// @param first Whether this entry normally starts the exchange.
+    /// @param since The time of the last exchange, started by either entry.
+    /// @param peers The number of other entries.
+    /// @return Whether this entry starts an exchange now.
     bool is_due(bool first, instant since, std::size_t peers, instant now) const
     {
         const auto wait = first ? interval(peers) : interval(peers) * 3 / 2;
@@ -62,7 +63,7 @@
     }
 
 private:
-    exchange_pacing_settings settings_; ///< Limits.
+    exchange_pacing_settings settings_;
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/label_demand.cpp
+++ b/src/glenhollow/durable/label_demand.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Time in which what has come loses all but 1/e of its weight.
+/// Time constant of the exponential decay.
 constexpr double decay_ms = 1000.0;
 
 constexpr double min_core_ms = 1.0;
--- a/src/glenhollow/durable/label_demand.hpp
+++ b/src/glenhollow/durable/label_demand.hpp
@@ -9,39 +9,35 @@
 namespace glenhollow
 {
 
-/// How much work prefers the runners of each label, over about a second. One
-/// thread.
+/// The amount of recent work that prefers each label, averaged over about a
+/// second. Not thread-safe.
 class label_demand final
 {
 public:
-    /// @param label A preferred label.
-    /// @param core_ms Core-milliseconds that have come for it.
-    /// @param now The time.
+    /// @param core_ms Core-milliseconds of a new task that prefers the label.
     void add(const std::string& label, double core_ms, instant now);
 
-    /// @param label A label.
-    /// @param now The time.
-    /// @return Cores that the work for it keeps busy, on average.
+    /// @return The average number of cores that work with this label keeps
+    /// busy.
     double cores(const std::string& label, instant now) const;
 
-    /// @return Whether no work with a preferred label has come lately.
+    /// @return Whether no recent work has a preferred label.
     bool empty() const { return labels_.empty(); }
 
-    /// Forgets labels that hardly any work prefers.
-    /// @param now The time.
+    /// Removes labels that almost no work prefers.
     void remove_negligible(instant now);
 
 private:
-    /// A decaying sum.
+    /// A sum that decays exponentially.
     struct decaying_sum
     {
-        double core_ms = 0; ///< At the time below.
-        instant at{};       ///< Of the last change.
+        double core_ms = 0; ///< Value at the time of the last change.
+        instant at{};       ///< Time of the last change.
     };
 
     static double decayed(const decaying_sum& sum, instant now);
 
-    std::map<std::string, decaying_sum> labels_; ///< By label.
+    std::map<std::string, decaying_sum> labels_;
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/lease_timing.cpp
+++ b/src/glenhollow/durable/lease_timing.cpp
@@ -16,21 +16,23 @@
 namespace
 {
 
-/// The users' callers wait so long after a lost connection or a 504.
+/// Time that callers wait after a lost connection or a 504.
 constexpr duration callers_wait = milliseconds{1300};
 
-/// An agent counts a hold as over past this; another clock may need longer.
+/// An agent waits this long before it treats a hold as expired; a slower clock
+/// must not need longer.
 static_assert(manager_timing::with_drift(longest_hold) +
                   manager_timing::lapse_slack >
               max_on_other_clock(longest_hold));
 
-/// A bound and what must have ended by then.
+/// A duration that must end before a bound.
 struct timing_bound
 {
-    std::string_view bounded_settings; ///< Settings of what goes on.
-    duration max_length{};             ///< At the longest.
-    std::string_view bound_setting;    ///< Setting of the bound.
-    duration bound{};                  ///< By its own clock.
+    std::string_view bounded_settings; ///< Names of the settings that make up
+                                       ///< the duration.
+    duration max_length{};             ///< Maximum duration.
+    std::string_view bound_setting; ///< Name of the setting that is the bound.
+    duration bound{};               ///< Bound on its own clock.
 };
 
 std::string milliseconds_of(duration length)
@@ -44,7 +46,7 @@
         return outcome::success();
     return failure{std::string(one.bounded_settings) + " (" +
                    milliseconds_of(one.max_length) +
-                   " with the drift of clocks) must end before " +
+                   " with clock drift) must end before " +
                    std::string(one.bound_setting) + " (" +
                    milliseconds_of(one.bound) + ")"};
 }
@@ -80,7 +82,7 @@
         {"memory_lease and stop_time", memory, "cancel_lapse",
          timing.cancel_lapse},
         {"part_lease and stop_time", part, "part_silence", timing.part_silence},
-        {"claim_word, part_lease and stop_time",
+        {"claim_evidence_age, part_lease and stop_time",
          max_on_other_clock(timing.claim_evidence_age) + part, "part_silence",
          timing.part_silence},
         {"hold", max_on_other_clock(timing.hold), "callers_wait",
--- a/src/glenhollow/durable/lease_timing.hpp
+++ b/src/glenhollow/durable/lease_timing.hpp
@@ -7,48 +7,56 @@
 namespace glenhollow
 {
 
-/// The times that "one run of a task at once" rests on. Each is measured on the
-/// clock of the process named; docs/design/margins.md says what covers what.
+/// Durations that guarantee that a task never runs twice at once. Each is
+/// measured on the clock of the process named; docs/design/margins.md gives the
+/// bounds between them.
 struct lease_timing
 {
-    duration hold{};         ///< Of a backend server, asked for by its agent.
-    duration memory_lease{}; ///< Of an entry's jobs in memory, at an agent.
-    duration part_lease{};   ///< Of a part's owner, at an agent.
-    duration stop_time{};    ///< Past a lease, for stops.
-    duration session_silence{}; ///< An entry drops an agent's session.
-    duration memory_silence{}; ///< An entry gives up an agent's runs in memory.
-    duration part_silence{};   ///< An owner gives up an agent's kept runs.
-    duration cancel_lapse{};   ///< Nothing runs any more in memory of an entry
-                               ///< that was silent so long.
-    duration claim_evidence_age{}; ///< An owner renews on a word so old.
-    duration callers_wait{};       ///< Before a caller without an answer asks
-                                   ///< another entry.
+    duration hold{}; ///< Duration of the hold that an agent requests from its
+                     ///< backend server.
+    duration memory_lease{}; ///< Lease of an entry for its jobs in memory,
+                             ///< counted by the agent.
+    duration part_lease{};   ///< Lease of a part's owner, counted by the agent.
+    duration stop_time{}; ///< Time after the end of a lease in which its runs
+                          ///< are stopped.
+    duration session_silence{}; ///< Silence after which an entry drops an
+                                ///< agent's session.
+    duration memory_silence{};  ///< Silence after which an entry gives up an
+                                ///< agent's runs of jobs in memory.
+    duration part_silence{}; ///< Silence after which a part's owner gives up an
+                             ///< agent's runs of durable jobs.
+    duration cancel_lapse{}; ///< Silence of an entry after which none of its
+                             ///< jobs in memory still runs.
+    duration claim_evidence_age{}; ///< Maximum age of the claim evidence on
+                                   ///< which an owner renews leases.
+    duration callers_wait{}; ///< Time that a caller without an answer waits
+                             ///< before it asks another entry.
 };
 
-/// Two steady clocks differ by this share at most.
+/// Maximum relative drift between two monotonic clocks.
 inline constexpr double max_clock_drift = 0.02;
 
-/// @param length On one clock.
-/// @return The longest that it may be on another one.
+/// @param length A duration on one clock.
+/// @return The longest duration that another clock may measure for it.
 constexpr duration max_on_other_clock(duration length)
 {
     return duration{static_cast<duration::rep>(
         static_cast<double>(length.count()) / (1 - max_clock_drift))};
 }
 
-/// @param length On one clock.
-/// @return The shortest that it may be on another one.
+/// @param length A duration on one clock.
+/// @return The shortest duration that another clock may measure for it.
 constexpr duration min_on_other_clock(duration length)
 {
     return duration{static_cast<duration::rep>(
         static_cast<double>(length.count()) * (1 - max_clock_drift))};
 }
 
-/// @param lease Of a holder, at an agent.
-/// @param of All of them.
-/// @return How long a run goes on after its holder's last word, also if its
-/// agent stands still from then on: the hold ends with the lease and the time
-/// to stop, by the agent's clock; the server's may be slow against that.
+/// @param lease A lease that an agent counts.
+/// @param timing All durations.
+/// @return The longest time that a run goes on after the last renewal of its
+/// lease, even if its agent freezes. The hold ends with the lease and the stop
+/// time by the agent's clock; the backend server's clock may be slower.
 constexpr duration max_run_past_lease(duration lease,
                                       const lease_timing& timing)
 {
@@ -56,11 +64,13 @@
            (max_on_other_clock(timing.hold) - timing.hold);
 }
 
-/// @return The times that the defaults of all parts come to.
+/// @return The durations that the defaults of all components give.
 lease_timing default_lease_timing();
 
-/// @param of The times as they are set.
-/// @return What does not hold, naming both settings; nothing where all do.
+/// Checks the bounds between the durations.
+/// @param timing The durations that are set.
+/// @return Success, or an error that names both settings of the first bound
+/// that is violated.
 result<void> check_lease_timing(const lease_timing& timing);
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/overload_plan.cpp
+++ b/src/glenhollow/durable/overload_plan.cpp
@@ -10,14 +10,14 @@
 namespace
 {
 
-/// A job that could be demoted; the greatest is first.
+/// A job that may be demoted; the greatest candidate is demoted first.
 struct candidate
 {
-    std::uint32_t priority = 0; ///< Of its queue.
-    instant start_by{};         ///< Of its tasks.
-    job_id job = 0;             ///< Which.
+    std::uint32_t priority = 0; ///< Priority of its queue.
+    instant start_by{};         ///< Latest start of its first task.
+    job_id job = 0;
 
-    /// @return Whether another one is demoted first.
+    /// @return Whether the other candidate is demoted before this one.
     bool operator<(const candidate& other) const
     {
         return std::tie(priority, start_by, job) <
@@ -34,7 +34,7 @@
     std::unordered_set<job_id> demoted;
     if (cores <= 0)
         return demoted;
-    std::unordered_map<job_id, double> work; // Before the task in question.
+    std::unordered_map<job_id, double> work; // Work per job queued so far.
     std::priority_queue<candidate> candidates;
     double work_before = 0;
     for (const auto& task : tasks)
--- a/src/glenhollow/durable/overload_plan.hpp
+++ b/src/glenhollow/durable/overload_plan.hpp
@@ -11,28 +11,29 @@
 namespace glenhollow
 {
 
-/// A task that waits, as the plan sees it.
+/// A waiting task as input to the plan.
 struct waiting_task
 {
-    job_id job = 0;             ///< Whose.
-    std::uint32_t priority = 0; ///< Of its queue; 0 goes first.
-    instant start_by{};         ///< Later its job misses its objective.
-    double core_ms = 0;         ///< Its work.
-    bool begun = false;         ///< Other tasks of its job were placed.
+    job_id job = 0;             ///< The job that owns the task.
+    std::uint32_t priority = 0; ///< The priority of its queue; 0 is the
+                                ///< highest.
+    instant start_by{}; ///< The latest start at which its job can meet its
+                        ///< objective.
+    double core_ms = 0; ///< The task's work in core-milliseconds.
+    bool begun = false; ///< Whether other tasks of its job have been placed.
 };
 
-/// When more work waits than can start in time, a queue by urgency alone makes
-/// nearly every job a little late. This names the jobs that must be demoted so
-/// that the others are in time: of those before the first task that would
-/// start too late, the least important one, and of these the one with most
-/// time left. Jobs that have begun are not named, for that would waste what
-/// they have done.
-/// @param tasks In the order in which they would start.
-/// @param cores That start work at the present rate.
-/// @param now The time.
-/// @return The jobs to demote.
-/// @note Moore's rule for the fewest late jobs on one machine, with importance
-/// in place of length: J. M. Moore, Management Science 15 (1968).
+/// Selects the jobs to demote under overload so that the others are in time. An
+/// order by urgency alone would make nearly every job a little late. Whenever a
+/// task would start too late, one job among those queued up to it is demoted:
+/// the one of the lowest priority, and among these the one with the latest
+/// start. Jobs that have begun are never selected, since their finished work
+/// would be wasted.
+/// @param tasks The waiting tasks in the order in which they would start.
+/// @param cores The rate at which work starts, in cores.
+/// @note A variant of Moore's algorithm for the fewest late jobs on one
+/// machine, with priority in place of length: J. M. Moore, Management Science
+/// 15 (1968).
 std::unordered_set<job_id>
 jobs_to_demote(const std::vector<waiting_task>& tasks, double cores,
                instant now);
--- a/src/glenhollow/durable/placement_client.cpp
+++ b/src/glenhollow/durable/placement_client.cpp
@@ -8,7 +8,7 @@
 namespace glenhollow
 {
 
-/// What the placer calls.
+/// Receives the grants of the placer.
 class placement_client::grant_server final
     : public wire::PlacementGrants::Server
 {
@@ -30,9 +30,9 @@
     }
 
 private:
-    placement_client& client_;     ///< Not used after its end.
-    std::shared_ptr<bool> alive_;  ///< Whether it has not ended.
-    std::uint64_t session_number_; ///< Of the session.
+    placement_client& client_;     ///< Valid while `alive_` is true.
+    std::shared_ptr<bool> alive_;  ///< Whether the client still exists.
+    std::uint64_t session_number_; ///< Number of the session.
 };
 
 placement_client::placement_client(const clock_source& clock,
@@ -63,7 +63,7 @@
         retry_at_ = avoids(placer) ? failed_until_ : instant{};
     }
     if (opening_ && clock_.now() - opening_since_ > settings_.retry)
-        opening_ = false; // Its link is gone, or it is silent.
+        opening_ = false; // The link broke, or there was no answer.
     if (!placer_.empty() && !session_ && !opening_ && clock_.now() >= retry_at_)
         open_session();
 }
@@ -87,7 +87,7 @@
                               wire::PlacementSession::Client orders)
 {
     if (number != session_number_)
-        return; // Given up meanwhile.
+        return; // The attempt was given up.
     opening_ = false;
     session_.reset(new session{kj::mv(orders), incarnation, {}, {}, {}});
     declined_.clear();
@@ -112,12 +112,15 @@
     return known == session_->loads.end() ? nullptr : &known->second;
 }
 
-/// A slow placer is told from a dead one by what its answers took before.
-duration placement_client::patience() const
+/// Adapts the timeout to the recent answer times, so that a slow placer is not
+/// taken for a dead one.
+duration placement_client::answer_timeout() const
 {
-    constexpr int deviations = 4; // As TCP's timer of retransmission.
+    constexpr int deviations = 4; // The same factor as in TCP's retransmission
+                                  // timer.
     return std::clamp(answer_time_ + deviations * answer_deviation_,
-                      settings_.patience, settings_.max_answer_timeout);
+                      settings_.min_answer_timeout,
+                      settings_.max_answer_timeout);
 }
 
 void placement_client::send(placement_update message)
@@ -132,14 +135,15 @@
         [this, alive = alive_, number = session_number_](kj::Exception&&)
         {
             if (*alive && number == session_number_)
-                on_change_(); // Not from inside its own call: see flush().
+                on_change_(); // flush() ends the session, which must not happen
+                              // inside its own call.
         }));
 }
 
 void placement_client::answered(std::uint64_t number,
                                 std::map<std::string, placement_load> loads)
 {
-    constexpr int weight = 8; // Of the newest: one eighth.
+    constexpr int weight = 8; // The newest answer counts one eighth.
     if (number != session_number_ || !session_ || session_->unanswered.empty())
         return;
     const duration took = clock_.now() - session_->unanswered.front();
@@ -157,7 +161,7 @@
         return;
     const bool silent =
         !session_->unanswered.empty() &&
-        clock_.now() - session_->unanswered.front() > patience();
+        clock_.now() - session_->unanswered.front() > answer_timeout();
     if (silent || !peers_.connected(placer_))
     {
         ++stats_.failures;
@@ -201,7 +205,8 @@
     on_change_();
 }
 
-/// The session may be what is calling: it ends a turn later.
+/// Ends the session in the next turn of the event loop, since the caller may
+/// run inside it.
 void placement_client::end_session()
 {
     peers_.later([old = std::shared_ptr<session>(std::move(session_))]() mutable
--- a/src/glenhollow/durable/placement_groups.cpp
+++ b/src/glenhollow/durable/placement_groups.cpp
@@ -12,12 +12,12 @@
 namespace
 {
 
-/// Cores that count as free where none is: a full group still gets its share
-/// of the jobs if all are full.
+/// Share of the cores that always counts as free, so that full groups still get
+/// a share of the jobs.
 constexpr double min_free_share = 0.05;
 
-/// A group whose work waits so long gets half as many jobs as one with as much
-/// room where none waits; about a third of a short task's slack.
+/// Waiting time that halves the weight of a group; about a third of the slack
+/// of a short task.
 constexpr double half_weight_wait_ms = 30.0;
 
 /// @return The number of a group's placer at the queue; 0 is this entry.
@@ -44,8 +44,8 @@
     queue_.set_placer_selector(nullptr);
 }
 
-/// With one group, an entry whose placer does not answer goes on to the next
-/// one, as all do that noticed it; with more, the other groups take the work.
+/// Chooses the placers. With one group, an entry avoids a placer that did not
+/// answer and uses the next one; with several, the other groups take the work.
 std::vector<std::string>
 placement_groups::select_placers(std::vector<placer_candidate> candidates) const
 {
@@ -144,8 +144,9 @@
     return all;
 }
 
-/// Jobs go where room is free, and where least waits for it. The draw keeps
-/// all entries from going to the same group until its placer tells of it.
+/// Returns the weight of a group: more with free cores, less with waiting work.
+/// Jobs are drawn by weight, so that entries with the same view do not all use
+/// the same group.
 double placement_groups::weight(const placement_load& load) const
 {
     if (load.ready_cores <= 0)
@@ -183,7 +184,7 @@
     }
     if (choices.size() == 1)
         return choices.front().first;
-    // One that has told nothing yet counts as the mean of the others.
+    // A placer without a reported load gets the mean weight of the others.
     const double mean = known > 0 && total > 0 ? total / known : 1;
     std::vector<double> weights;
     for (const auto& [number, choice_weight] : choices)
--- a/src/glenhollow/durable/placement_rate.hpp
+++ b/src/glenhollow/durable/placement_rate.hpp
@@ -6,17 +6,17 @@
 namespace glenhollow
 {
 
-/// How quickly the work of one queue finds places while some of it waits: the
-/// share of the runners that this entry gets, beside all others. One thread.
+/// The rate at which waiting work of one queue is placed. It is the share of
+/// the backend servers that this entry gets beside all others. Not thread-safe.
 class placement_rate final
 {
 public:
-    /// @param core_ms Work that found a place.
+    /// Records placed work.
+    /// @param core_ms Core-milliseconds of the work.
     void placed(double core_ms) { core_ms_ += core_ms; }
 
-    /// Ends a span of time.
-    /// @param now The time.
-    /// @param waits Whether work waits at its end.
+    /// Closes a measuring interval.
+    /// @param is_waiting Whether work waits at the end of the interval.
     void review(instant now, bool is_waiting)
     {
         const double interval_ms =
@@ -30,13 +30,15 @@
         since_ = now;
     }
 
-    /// @return Core-milliseconds a millisecond; 0 where it is not known, for
-    /// nothing has had to wait for long.
+    /// @return Cores, that is core-milliseconds per millisecond; 0 where it is
+    /// unknown because no work has waited for long.
     double cores() const { return intervals_ < min_intervals ? 0 : cores_; }
 
 private:
-    static constexpr double weight = 0.3;   ///< Of the newest span.
-    static constexpr int min_intervals = 3; ///< Spans before it is told.
+    static constexpr double weight = 0.3; ///< Weight of the newest interval in
+                                          ///< the average.
+    static constexpr int min_intervals = 3; ///< Intervals measured before a
+                                            ///< rate is given.
 
     void add_sample(double cores)
     {
@@ -44,11 +46,12 @@
         ++intervals_;
     }
 
-    double core_ms_ = 0;       ///< In this span.
-    double cores_ = 0;         ///< On average; 0: nothing waited lately.
-    int intervals_ = 0;        ///< Noted since work began to wait.
-    bool was_waiting_ = false; ///< At the begin of this span.
-    instant since_{};          ///< Its begin.
+    double core_ms_ = 0;       ///< Work placed in this interval.
+    double cores_ = 0;         ///< Moving average; 0: no work waited lately.
+    int intervals_ = 0;        ///< Intervals since work began to wait.
+    bool was_waiting_ = false; ///< Whether work waited at the start of this
+                               ///< interval.
+    instant since_{};          ///< Start of this interval.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/placement_server.cpp
+++ b/src/glenhollow/durable/placement_server.cpp
@@ -7,7 +7,7 @@
 namespace glenhollow
 {
 
-/// What the session's entry calls; ends with its connection.
+/// Receives the calls of a session's entry; destroyed with its connection.
 class placement_server::session_server final
     : public wire::PlacementSession::Server
 {
@@ -34,9 +34,9 @@
     }
 
 private:
-    placement_server& server_;    ///< Not used after its end.
-    std::shared_ptr<bool> alive_; ///< Whether it has not ended.
-    entry_number entry_;          ///< Of the session.
+    placement_server& server_;    ///< Valid while `alive_` is true.
+    std::shared_ptr<bool> alive_; ///< Whether the server still exists.
+    entry_number entry_;          ///< Number of the session.
 };
 
 placement_server::placement_server(const clock_source& clock, dispatcher& queue,
@@ -102,14 +102,14 @@
 {
     const auto known = sessions_.find(entry);
     if (known == sessions_.end())
-        return; // The room is free again when its grants expire.
+        return; // The room is freed when the grants expire.
     auto request = known->second.grants.grantRequest();
     auto out = request.initGrants(static_cast<unsigned>(grants.size()));
     for (unsigned i = 0; i < out.size(); ++i)
         fill(out[i], grants[i]);
     if (!calls_)
         calls_ = std::make_unique<background_tasks>();
-    // A failed call means a broken link, with which the session ends.
+    // A call fails only if the link is broken, which ends the session.
     calls_->add(request.send().ignoreResult());
 }
 
--- a/src/glenhollow/durable/placement_server.hpp
+++ b/src/glenhollow/durable/placement_server.hpp
@@ -16,29 +16,29 @@
 namespace glenhollow
 {
 
-/// Places the tasks of other entries in one queue with this entry's own. One
-/// session for each of them: waiting tasks come in, grants go out. A session
-/// takes its tasks along when it ends. Runs inside an rpc_loop.
+/// Places the tasks of other entries in one queue with this entry's own. Each
+/// entry has a session, which receives its waiting tasks and sends it grants.
+/// When a session ends, its tasks are dropped. Runs inside an rpc_loop.
 class placement_server final : public grant_sender
 {
 public:
-    /// @param clock Outlives the server.
-    /// @param placing Queues and places the tasks; outlives the server.
-    /// @param on_change Told that something may be placed.
+    /// @param clock Must outlive the server.
+    /// @param queue Places the tasks; must outlive the server.
+    /// @param on_change Called when tasks may have become placeable.
     placement_server(const clock_source& clock, dispatcher& queue,
                      std::function<void()> on_change);
     ~placement_server() noexcept override;
 
-    /// @param entry Its name.
-    /// @param grants Told of places for its tasks.
-    /// @return Its session; an earlier one of the same entry ends.
+    /// Opens a session for an entry.
+    /// @param grants Receives the grants to its tasks.
+    /// @return The session; an earlier one of the same entry ends.
     wire::PlacementSession::Client open(const std::string& entry,
                                         wire::PlacementGrants::Client grants);
 
     /// @return Whether any entry has a session.
     bool active() const { return !sessions_.empty(); }
 
-    /// Ends all sessions, while the event loop lives.
+    /// Ends all sessions. Must be called while the event loop lives.
     void close();
 
     void grant(entry_number entry, std::vector<task_grant> grants) override;
@@ -46,23 +46,25 @@
 private:
     class session_server;
 
-    /// One entry's session.
+    /// The session of one entry.
     struct session
     {
-        std::string entry;                    ///< Its name.
-        wire::PlacementGrants::Client grants; ///< Its ear.
+        std::string entry;                    ///< Name of the entry.
+        wire::PlacementGrants::Client grants; ///< Receives its grants.
     };
 
     void apply(entry_number entry, const placement_update& message);
     void end(entry_number entry);
 
-    const clock_source& clock_;                ///< This entry's.
-    dispatcher& queue_;                        ///< Places the tasks.
-    std::function<void()> on_change_;          ///< Told of changes.
-    std::map<entry_number, session> sessions_; ///< By number.
-    entry_number last_number_ = 0;             ///< Of sessions so far.
-    std::unique_ptr<background_tasks> calls_;  ///< Grants that are out.
-    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true); ///< Guard.
+    const clock_source& clock_;
+    dispatcher& queue_;               ///< Places the tasks.
+    std::function<void()> on_change_; ///< Called when tasks may have become
+                                      ///< placeable.
+    std::map<entry_number, session> sessions_; ///< Sessions by number.
+    entry_number last_number_ = 0;            ///< Number of the newest session.
+    std::unique_ptr<background_tasks> calls_; ///< Grant calls in progress.
+    /// Guards sessions that outlive the server.
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/placement_wire.cpp
+++ b/src/glenhollow/durable/placement_wire.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::int64_t micros_per_ms = 1000;
 
-/// Tasks that differ in their index alone go in one record.
+/// Tasks that differ only in their index share one record.
 bool same_group(const ready_task& a, const ready_task& b)
 {
     return a.task.job == b.task.job && a.task.occurrence == b.task.occurrence &&
@@ -60,8 +60,8 @@
     out.setBegun(task.begun);
 }
 
-/// A record of more tasks than a job may have would grow here to many times
-/// its size; none of ours has them, so it is passed over.
+/// Skips records with more tasks than a job may have: they are invalid, and
+/// would use many times their size here.
 void read_group(wire::WantedTasks::Reader in, instant now,
                 std::vector<ready_task>& tasks)
 {
--- a/src/glenhollow/durable/placement_wire.hpp
+++ b/src/glenhollow/durable/placement_wire.hpp
@@ -11,52 +11,51 @@
 namespace glenhollow
 {
 
-/// What an entry tells its placer.
+/// Changes that an entry sends to its placer.
 struct placement_update
 {
-    bool restart = false;                 ///< Forget what was wanted before.
-    queue_changes changes;                ///< Of its waiting tasks.
+    bool restart = false; ///< Whether the placer drops all earlier tasks of the
+                          ///< entry.
+    queue_changes changes;                ///< Changes of its waiting tasks.
     std::vector<declined_grant> declined; ///< Grants that it did not use.
 
-    /// @return Whether there is nothing to tell.
+    /// @return Whether there is nothing to send.
     bool empty() const
     {
         return !restart && changes.empty() && declined.empty();
     }
 };
 
-/// @param out Gets the message.
-/// @param message What is told.
-/// @param now The sender's time.
+/// Writes an update.
+/// @param out Receives the update.
+/// @param now The sender's time; start times are sent relative to it.
 void fill(wire::PlacementSession::WantParams::Builder out,
           const placement_update& message, instant now);
 
-/// @param in A message.
+/// Reads an update.
+/// @param in The update on the wire.
 /// @param now The receiver's time.
-/// @return What was told, in the receiver's time.
+/// @return The update, with start times on the receiver's clock.
 placement_update from_wire(wire::PlacementSession::WantParams::Reader in,
                            instant now);
 
-/// @param out Gets the loads.
-/// @param loads By service.
+/// Writes loads.
+/// @param out Receives the loads.
 void fill(wire::PlacementSession::WantResults::Builder out,
           const std::map<std::string, placement_load>& loads);
 
-/// @param in One service's load on the wire.
-/// @return It; amounts that are none are 0.
+/// @param in The load of one service on the wire.
+/// @return The load; invalid amounts are 0.
 placement_load load_from(wire::PlacementLoad::Reader in);
 
-/// @param in Loads on the wire.
-/// @return The loads, by service.
+/// @return The loads by service.
 std::map<std::string, placement_load>
 from_wire(wire::PlacementSession::WantResults::Reader in);
 
-/// @param out Gets the grant.
-/// @param grant A grant.
+/// @param out Receives the grant.
 void fill(wire::TaskGrant::Builder out, const task_grant& grant);
 
-/// @param in A grant on the wire.
-/// @return The grant.
+/// @param in The grant on the wire.
 task_grant from_wire(wire::TaskGrant::Reader in);
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/placer_choice.cpp
+++ b/src/glenhollow/durable/placer_choice.cpp
@@ -24,7 +24,7 @@
     return highest;
 }
 
-/// @return Entries that could place, in no order.
+/// @return The entries that may be placers, in no particular order.
 std::vector<placer_candidate>
 eligible(const std::vector<placer_candidate>& candidates,
          const placer_choice_settings& settings)
@@ -49,7 +49,8 @@
 {
     auto remaining = eligible(candidates, settings);
     const auto agents = max_agents(candidates);
-    // Rounded: a full number of groups does not change with a few agents.
+    // Rounded, so that small changes near a full number of groups do not add
+    // one.
     const auto wanted = std::max<std::size_t>(
         1, (agents + settings.group_agents / 2) / settings.group_agents);
     std::vector<std::string> placers;
--- a/src/glenhollow/durable/queue_catalog.cpp
+++ b/src/glenhollow/durable/queue_catalog.cpp
@@ -10,11 +10,11 @@
 namespace
 {
 
-/// Of a caller that does not say how long it waits.
+/// Waiting time of a caller that gives none.
 constexpr std::int64_t default_give_up_ms = 30'000;
 
-/// Thirty days: a later one is as good as none, and three times it, in
-/// nanoseconds, can still be counted with.
+/// Thirty days, so that three times the objective does not overflow in
+/// nanoseconds.
 constexpr double max_objective_ms = 30.0 * 24 * 3600 * 1000;
 
 result<void> check_step(const std::vector<job_step>& steps, std::size_t at)
@@ -26,7 +26,7 @@
                        std::to_string(max_job_tasks)};
     for (const auto before : step.after)
     {
-        // Earlier steps only, so that no circle can be.
+        // Steps may name only earlier steps, which rules out cycles.
         if (before >= at)
             return failure{field + "after names step " +
                            std::to_string(before) + ", which is not earlier"};
@@ -42,8 +42,8 @@
     queues_.push_back(std::move(rule));
 }
 
-/// Of the prefixes that sort before the path the last one is the longest that
-/// matches, or shows how much of the path a match can have at most.
+/// Finds the longest matching prefix. Of the prefixes that sort before the
+/// path, the last one either matches or bounds the length of any match.
 const queue_rule* queue_catalog::find(std::string_view host,
                                       std::string_view path) const
 {
@@ -102,7 +102,7 @@
     job.objective_ms = now_ms + objective;
     if (job.durability_class == durability::in_memory)
     {
-        // Past three times its objective an end is worth nothing.
+        // An end after three times the objective is of no use.
         const auto patience =
             job.expiry_ms == 0 ? default_give_up_ms : job.expiry_ms;
         job.expiry_ms = now_ms + std::min(patience, 3 * objective);
--- a/src/glenhollow/durable/ready_task.hpp
+++ b/src/glenhollow/durable/ready_task.hpp
@@ -11,44 +11,47 @@
 namespace glenhollow
 {
 
-/// Numbers the entries whose tasks an entry places; 0: its own.
+/// Number of an entry whose tasks this entry places; 0: this entry.
 using entry_number = std::uint32_t;
 
-/// Numbers the placers that place an entry's tasks; 0: the entry itself.
+/// Number of a placer that places this entry's tasks; 0: this entry.
 using placer_number = std::uint32_t;
 
-/// A task that may start.
+/// A task whose preceding steps are done, so that it may start.
 struct ready_task
 {
-    task_ref task;                 ///< Which task.
-    part_number part = 0;          ///< Of its job.
-    std::string service;           ///< Whose runners run it.
-    std::string label;             ///< The runner must have it, if given.
-    std::string preferred_label;   ///< Other runners are slower at it.
-    resources needs;               ///< Of the runner.
-    std::uint32_t priority = 0;    ///< Of its queue; 0 goes first.
-    instant start_by{};            ///< Later its job misses its objective.
-    std::uint32_t estimate_ms = 0; ///< The caller's guess of its time.
-    std::string avoid;             ///< An agent where it failed; may be empty.
-    bool begun = false;            ///< Other tasks of its job were placed.
-    entry_number entry = 0;        ///< Whose it is; 0: this entry's.
+    task_ref task;
+    part_number part = 0; ///< The part that owns its job.
+    std::string service;  ///< The service whose backend servers run it.
+    std::string label;    ///< Label that the backend server must have; may be
+                          ///< empty.
+    std::string preferred_label; ///< Backend servers without this label run the
+                                 ///< task more slowly; may be empty.
+    resources needs;             ///< The resources that the task takes.
+    std::uint32_t priority = 0;  ///< The priority of its queue; 0 is the
+                                 ///< highest.
+    instant start_by{}; ///< The latest start at which its job can meet its
+                        ///< objective.
+    std::uint32_t estimate_ms = 0; ///< The run time that the caller estimates.
+    std::string avoid;  ///< The agent at which it failed last; may be empty.
+    bool begun = false; ///< Whether other tasks of its job have been placed.
+    entry_number entry = 0; ///< The entry that owns the task.
 };
 
-/// Waiting tasks that an entry's placer has to be told of.
+/// Changes of an entry's waiting tasks since the last call to the placer.
 struct queue_changes
 {
-    std::vector<ready_task> added;   ///< Wait since the last call.
-    std::vector<task_ref> withdrawn; ///< Wait no more.
+    std::vector<ready_task> added;   ///< Tasks that wait now.
+    std::vector<task_ref> withdrawn; ///< Tasks that no longer wait.
 
-    /// @return Whether there is nothing to tell.
+    /// @return Whether there are no changes.
     bool empty() const { return added.empty() && withdrawn.empty(); }
 };
 
-/// Needs are told in thousandths of a core.
+/// Thousandths of a core, in which resources state CPU.
 inline constexpr double millicores_per_core = 1000.0;
 
-/// @param task A task.
-/// @return Its core-milliseconds, by its caller's guess.
+/// @return The task's work in core-milliseconds, by its caller's estimate.
 inline double estimated_core_ms(const ready_task& task)
 {
     return task.estimate_ms * (task.needs.cpu / millicores_per_core);
--- a/src/glenhollow/durable/report_budget.hpp
+++ b/src/glenhollow/durable/report_budget.hpp
@@ -9,32 +9,34 @@
 namespace glenhollow
 {
 
-/// Limits of a report budget.
+/// Settings of a report budget.
 struct report_budget_settings
 {
-    double max_rate = 1500;                    ///< Reports a second.
-    double min_rate = 150;                     ///< Reports a second.
-    double increase = 4;                       ///< Each punctual tick.
-    double decrease_factor = 0.8;              ///< Factor of each late tick.
-    duration late_threshold = milliseconds{4}; ///< A tick that comes later.
-    duration max_gap = seconds{1};             ///< Told to agents, at most.
+    double max_rate = 1500; ///< Reports per second.
+    double min_rate = 150;  ///< Reports per second.
+    double increase = 4;    ///< Reports per second added after a tick on time.
+    double decrease_factor = 0.8; ///< Factor applied to the rate after a late
+                                  ///< tick.
+    duration late_threshold = milliseconds{4}; ///< A tick with a greater delay
+                                               ///< counts as late.
+    duration max_gap = seconds{1}; ///< Longest gap that agents are asked to
+                                   ///< keep.
 };
 
-/// How many reports of room an entry can bear, by how late its own timers
-/// come: a small or busy machine takes fewer, and thus works with an older
-/// view of the runners rather than answer its callers late. The work does not
-/// grow with the number of agents. One thread.
+/// The rate of capacity reports that an entry accepts from all agents together.
+/// It falls when the entry's timers are late: an overloaded entry then works
+/// with an older view of the backend servers instead of answering its callers
+/// late. The cost does not grow with the number of agents. Not thread-safe.
 class report_budget final
 {
 public:
-    /// @param settings Limits.
     explicit report_budget(const report_budget_settings& settings)
         : settings_(settings), rate_(settings.max_rate)
     {
     }
 
-    /// A tick has come.
-    /// @param lag How much later than it was due.
+    /// Adjusts the rate after a timer tick.
+    /// @param lag The delay of the tick against its due time.
     void record_tick(duration lag)
     {
         rate_ = lag > settings_.late_threshold
@@ -43,8 +45,8 @@
         rate_ = std::clamp(rate_, settings_.min_rate, settings_.max_rate);
     }
 
-    /// @param agents Agents that report.
-    /// @return The least time between two reports of room of one of them.
+    /// @param agents The number of agents that report.
+    /// @return The minimum time between two capacity reports of one agent.
     duration gap(std::size_t agents) const
     {
         const std::chrono::duration<double> wanted{static_cast<double>(agents) /
@@ -53,12 +55,12 @@
                         settings_.max_gap);
     }
 
-    /// @return Reports a second, for all agents together.
+    /// @return Reports per second, of all agents together.
     double rate() const { return rate_; }
 
 private:
-    report_budget_settings settings_; ///< Limits.
-    double rate_;                     ///< Reports a second.
+    report_budget_settings settings_;
+    double rate_; ///< Reports per second.
 };
 
 } // namespace glenhollow
--- a/tests/unit/durable/agent_sessions_tests.cpp
+++ b/tests/unit/durable/agent_sessions_tests.cpp
@@ -1,4 +1,4 @@
-// What an entry concludes from the sessions with one agent.
+// Conclusions that an entry draws from successive sessions with one agent.
 #include "glenhollow/core/run_after.hpp"
 #include "glenhollow/durable/agent_sessions.hpp"
 #include "glenhollow/rpc/rpc_listener.hpp"
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Takes all orders and says nothing.
+/// A session that accepts all calls and never reports.
 class silent_session final : public wire::RunSession::Server
 {
 public:
@@ -20,11 +20,11 @@
     kj::Promise<void> pace(PaceContext) override { return kj::READY_NOW; }
 };
 
-/// An agent that never reports and tells which process of it this is.
+/// An agent that never reports, and whose process changes between sessions.
 class silent_agent final : public wire::RunAgent::Server
 {
 public:
-    /// @param processes One for each attachment; the last one for the rest.
+    /// @param processes The incarnation of each session; the last one repeats.
     explicit silent_agent(std::vector<std::uint64_t> processes)
         : processes_(std::move(processes))
     {
@@ -44,7 +44,7 @@
     std::size_t attached_ = 0;
 };
 
-/// An entry that notes which accounts of its jobs in memory are complete.
+/// Records which accounts of the entry's jobs in memory are complete.
 struct recording_entry : agent_session_listener
 {
     void agent_attached(const std::string&, const runner_report&) override {}
@@ -85,7 +85,7 @@
 
 } // namespace
 
-TEST_CASE("an account is complete only of the process that told the last one")
+TEST_CASE("an account is complete only from the process that sent the last one")
 {
     rpc_loop loop;
     recording_entry entry;
--- a/tests/unit/durable/delegated_tasks_tests.cpp
+++ b/tests/unit/durable/delegated_tasks_tests.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("a placer is told of its own tasks, once")
+TEST_CASE("each task is sent once, to its own placer")
 {
     delegated_tasks waiting;
     waiting.add(1, task(10));
@@ -33,7 +33,7 @@
     CHECK(waiting.work("service-1") == Approx(240));
 }
 
-TEST_CASE("a task that nobody was told of is not withdrawn either")
+TEST_CASE("a task that was not sent to its placer is not withdrawn there")
 {
     delegated_tasks waiting;
     waiting.add(1, task(10));
@@ -47,7 +47,7 @@
     CHECK(waiting.work("service-1") == 0);
 }
 
-TEST_CASE("the placer that granted knows; the one where it waits is told")
+TEST_CASE("a task is withdrawn from its placer if another one granted it")
 {
     delegated_tasks waiting;
     waiting.add(2, task(10));
@@ -60,7 +60,8 @@
     CHECK(waiting.size() == 0);
 }
 
-TEST_CASE("the rest of a job that has begun says so at its next placer")
+TEST_CASE(
+    "remaining tasks of a begun job are marked as begun at the next placer")
 {
     delegated_tasks waiting;
     waiting.add(1, task(10));
@@ -76,7 +77,7 @@
     CHECK(waiting.take_changes(2).added[0].begun);
 }
 
-TEST_CASE("what was to be told to a placer goes with its session")
+TEST_CASE("unsent changes to a placer are dropped with its session")
 {
     delegated_tasks waiting;
     waiting.add(1, task(10));
--- a/tests/unit/durable/dispatcher_sharing_tests.cpp
+++ b/tests/unit/durable/dispatcher_sharing_tests.cpp
@@ -1,4 +1,4 @@
-// Tasks of this entry at placers of groups.
+// Tests of tasks that this entry delegates to placers.
 #include "unit/durable/placement_world.hpp"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Lets tasks wait at the placer that a test names.
+/// Selects the placer that a test sets.
 struct fixed_selector : placer_selector
 {
     placer_number select(const ready_task&) override { return placer; }
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("an entry whose tasks are placed elsewhere orders them on a grant")
+TEST_CASE("an entry orders a delegated task when its placer grants room")
 {
     placement_world world(1);
     fixed_selector selector;
@@ -37,25 +37,26 @@
         REQUIRE(world.orders.size() == 1);
         CHECK(world.orders[0].placer == 99);
         CHECK(world.orders[0].grant == 7);
-        CHECK(world.placing.take_changes(1).empty()); // Its placer knows.
+        // The granting placer is not notified.
+        CHECK(world.placing.take_changes(1).empty());
         CHECK(world.placing.apply_grant({wanted.task, "a", 8}, {1, 99}) ==
               grant_verdict::not_wanted);
     }
-    SECTION("an agent out of reach: the task is wanted again")
+    SECTION("an unreachable agent: the task is sent to its placer again")
     {
         CHECK(world.placing.apply_grant({wanted.task, "b", 7}, {1, 99}) ==
               grant_verdict::unreachable);
         CHECK(world.placing.take_changes(1).added.size() == 1);
         CHECK(world.placing.waiting() == 1);
     }
-    SECTION("its caller has left: the grant is not used")
+    SECTION("a withdrawn task: the grant is not used")
     {
         world.placing.withdraw(wanted.task);
         CHECK(world.placing.take_changes(1).withdrawn.size() == 1);
         CHECK(world.placing.apply_grant({wanted.task, "a", 7}, {1, 99}) ==
               grant_verdict::not_wanted);
     }
-    SECTION("without its placer the entry places by itself")
+    SECTION("no placer: the entry places the task itself")
     {
         selector.placer = 0;
         world.placing.recall(1);
@@ -64,13 +65,13 @@
               grant_verdict::not_wanted);
         CHECK(world.placed.size() == 1);
     }
-    SECTION("with the placer of another group it waits there, once")
+    SECTION("another placer: the task waits there and is ordered once")
     {
         selector.placer = 2;
         world.placing.recall(1);
         CHECK(world.placing.take_changes(1).empty());
         CHECK(world.placing.take_changes(2).added.size() == 1);
-        // A grant of the first placer that was on its way all the while.
+        // A late grant of the first placer arrives.
         CHECK(world.placing.apply_grant({wanted.task, "a", 7}, {1, 99}) ==
               grant_verdict::used);
         CHECK(world.placing.take_changes(2).withdrawn.size() == 1);
@@ -81,11 +82,11 @@
     }
 }
 
-TEST_CASE("a stop never overtakes the order that it is for")
+TEST_CASE("a stop is not sent ahead of the start of its run")
 {
-    // A grant's order leaves with the next turn. An agent carries out the stops
-    // of a message first: one that came in between would find no run, and the
-    // run of a cancelled job would then begin.
+    // An agent handles the stops of a batch before its starts. A stop in the
+    // same batch as its start would find no run, and the cancelled run would
+    // then begin.
     placement_world world(1);
     fixed_selector selector;
     world.runner("a", "rack-1");
@@ -95,7 +96,7 @@
     REQUIRE(world.placing.apply_grant({wanted.task, "a", 7}, {1, 99}) ==
             grant_verdict::used);
     REQUIRE(world.orders.empty());
-    world.placing.stop("a", {wanted.task, 0}); // As it was assigned.
+    world.placing.stop("a", {wanted.task, 0});
     world.placing.dispatch();
     REQUIRE(world.batches.size() == 2);
     CHECK(world.batches[0].starts.size() == 1);
@@ -104,7 +105,7 @@
     CHECK(world.batches[1].stops.size() == 1);
 }
 
-TEST_CASE("what an agent is told with an answer is not sent again")
+TEST_CASE("ends confirmed in an answer to a report are not sent again")
 {
     placement_world world(1);
     world.runner("a", "rack-1");
@@ -117,7 +118,7 @@
     CHECK(world.placing.take_confirmed("nobody").empty());
 }
 
-TEST_CASE("tasks that wait here move to a placer that can be chosen")
+TEST_CASE("tasks that wait here move to a placer that becomes available")
 {
     placement_world world(1);
     fixed_selector selector;
@@ -136,7 +137,7 @@
     CHECK(world.place_again().empty());
 }
 
-TEST_CASE("the tasks of a job wait at one placer")
+TEST_CASE("all tasks of a job wait at one placer")
 {
     placement_world world(1);
     fixed_selector selector;
@@ -148,7 +149,7 @@
     selector.placer = 2;
     world.placing.enqueue(second);
     CHECK(world.placing.take_changes(1).added.size() == 2);
-    // Nor do they part where the first one waits here.
+    // The same holds if the first task waits here.
     auto third = world.task("", slack);
     auto fourth = third;
     fourth.task.index = 1;
@@ -159,7 +160,7 @@
     CHECK(world.placing.take_changes(2).empty());
 }
 
-TEST_CASE("a placer places at the agents of its group alone")
+TEST_CASE("a placer places only at the agents of its group")
 {
     placement_world world(1);
     world.runner("a", "rack-1");
@@ -173,7 +174,8 @@
     CHECK(world.placing.ready_cores("service-1") == 32);
 }
 
-TEST_CASE("an agent that moves to another group loses no room and no grant")
+TEST_CASE(
+    "grants at an agent that changes its group stay valid until they expire")
 {
     placement_world world(1);
     world.placing.set_grant_sender(&world);
@@ -182,20 +184,20 @@
     world.placing.dispatch();
     REQUIRE(world.granted.size() == 1);
     world.placing.place_only_at([](const std::string&) { return false; });
-    // Nothing more is placed there; what was granted may still be used.
+    // Nothing more is placed there, but the grant may still be used.
     world.placing.enqueue(world.task_of(1, slack));
     world.placing.dispatch();
     CHECK(world.granted.size() == 1);
     world.loop.advance(milliseconds{200});
     world.placing.dispatch();
-    // It comes back: the grant that nobody used has freed its room.
+    // The agent returns, and the room of the unused grant is free.
     world.placing.place_only_at(nullptr);
     CHECK(world.placing.free_cores("service-1") == Approx(16));
     world.placing.dispatch();
     CHECK(world.granted.size() == 2);
 }
 
-TEST_CASE("an entry orders at agents of other groups what their placers grant")
+TEST_CASE("an entry uses grants at agents of other groups")
 {
     placement_world world(1);
     fixed_selector selector;
--- a/tests/unit/durable/dispatcher_tests.cpp
+++ b/tests/unit/durable/dispatcher_tests.cpp
@@ -4,7 +4,7 @@
 
 using namespace glenhollow;
 
-TEST_CASE("a task goes where its data lies, also to a fuller runner")
+TEST_CASE("a task goes to its preferred label, even to a fuller server")
 {
     placement_world world;
     world.runner("a", "rack-1");
@@ -12,7 +12,7 @@
     CHECK(world.place(world.task("rack-2", slack)) == "b");
 }
 
-TEST_CASE("a task that would be late elsewhere waits for room at its data")
+TEST_CASE("a task waits for its preferred label if it is late elsewhere")
 {
     placement_world world;
     world.runner("a", "rack-1");
@@ -22,20 +22,21 @@
     CHECK(world.place_again() == "b");
 }
 
-TEST_CASE("a task that is late goes to any runner with room to spare")
+TEST_CASE("a late task goes to any server with room to spare")
 {
     placement_world world;
     world.runner("a", "rack-1", 14000);
     world.runner("b", "rack-2", 15000);
     CHECK(world.place(world.task("rack-2", slack)).empty());
     world.loop.advance(slack + milliseconds{1});
-    CHECK(world.place_again().empty()); // Little room is left at "a".
+    CHECK(world.place_again().empty()); // "a" is crowded.
     world.placing.reported("a", placement_world::report("rack-1", 0));
     CHECK(world.place_again() == "a");
     CHECK(world.placing.stats().far == 1);
 }
 
-TEST_CASE("a task that is in time elsewhere does not wait for room")
+TEST_CASE(
+    "a task that ends in time elsewhere does not wait for its preferred label")
 {
     placement_world world(1.5);
     world.runner("a", "rack-1");
@@ -43,14 +44,14 @@
     CHECK(world.place(world.task("rack-2", slack)) == "a");
 }
 
-TEST_CASE("a task whose data lies at no runner goes to any")
+TEST_CASE("a task whose preferred label no server has goes to any server")
 {
     placement_world world;
     world.runner("a", "rack-1");
     CHECK(world.place(world.task("rack-9", slack)) == "a");
 }
 
-TEST_CASE("runners that much work prefers are left to it")
+TEST_CASE("other tasks avoid servers whose label much work prefers")
 {
     placement_world world;
     world.runner("a", "rack-1", 8000);
@@ -65,14 +66,14 @@
     world.placing.dispatch();
     REQUIRE(world.starts == std::vector<std::string>(5, "b"));
     CHECK(world.place(world.task("", slack)) == "a");
-    // Unless there is no room elsewhere.
+    // Other tasks use "b" if there is no room elsewhere.
     world.placing.reported("a", placement_world::report("rack-1", 16000));
     CHECK(world.place(world.task("", slack)) == "b");
 }
 
-TEST_CASE("entries do not all send to one of many runners that are alike")
+TEST_CASE("entries with equal views do not all choose the same server")
 {
-    // Found on the grown deployments: with old views, all chose the quickest.
+    // Entries with equal or outdated views must not all overload one server.
     std::map<std::string, int> chosen;
     for (std::uint64_t entry = 1; entry <= 12; ++entry)
     {
@@ -85,7 +86,8 @@
         CHECK(entries <= 3);
 }
 
-TEST_CASE("under overload what is less important stands back early")
+TEST_CASE(
+    "under overload jobs of low priority are demoted before they are late")
 {
     placement_world world(1);
     world.runner("a", "rack-1", 15000);
@@ -99,7 +101,7 @@
     };
     for (int i = 0; i < 24; ++i)
         enqueue(i % 2 == 0 ? 2 : 0, milliseconds{500 + 10 * i});
-    // Room for one task each 50 ms, so that half of them can be in time.
+    // Room for one task every 50 ms, so that half of the tasks can be in time.
     for (int i = 0; i < 10; ++i)
     {
         world.loop.advance(milliseconds{50});
@@ -114,13 +116,13 @@
     std::size_t important = 0;
     for (const auto& [job, priority] : priorities)
         important += priority == 0 ? 1 : 0;
-    CHECK(important <= 4); // By urgency alone it would be seven of twelve.
+    CHECK(important <= 4); // An order by urgency alone gives seven.
 }
 
-TEST_CASE("late jobs that have begun are finished before others begin")
+TEST_CASE("late jobs that have begun go before late jobs that have not")
 {
     placement_world world(1);
-    world.runner("a", "rack-1", 14000); // Room for one.
+    world.runner("a", "rack-1", 14000); // Room for one task.
     auto older = world.task("", milliseconds{1});
     auto begun = world.task("", milliseconds{2});
     auto rest = begun;
@@ -131,14 +133,15 @@
     REQUIRE(world.placed == std::vector<job_id>{begun.task.job});
     world.placing.enqueue(older);
     world.loop.advance(milliseconds{50});
-    world.placing.dispatch(); // Both are late now.
+    world.placing.dispatch(); // Both jobs are late now.
     world.placing.reported("a", placement_world::report("rack-1", 14000));
     world.placing.dispatch();
     REQUIRE(world.placed.size() == 2);
     CHECK(world.placed.back() == begun.task.job);
 }
 
-TEST_CASE("time far from the data is not held against the runner")
+TEST_CASE(
+    "a long run without the preferred label does not slow the server's pace")
 {
     placement_world world;
     world.runner("a", "rack-1");
@@ -153,9 +156,9 @@
     CHECK(world.placing.agents().at("a").pace() == Approx(1.0));
 }
 
-// One queue for the tasks of all entries.
+// Shared placement of the tasks of several entries.
 
-TEST_CASE("tasks of several entries start in the order of their urgency")
+TEST_CASE("tasks of several entries start in the order of urgency")
 {
     placement_world world(1);
     world.placing.set_grant_sender(&world);
@@ -169,7 +172,8 @@
     std::vector<job_id> order;
     for (int i = 0; i < 3; ++i)
     {
-        auto free = placement_world::report("rack-1", 14400); // Room for one.
+        // Room for one task.
+        auto free = placement_world::report("rack-1", 14400);
         for (const auto& [entry, grant] : world.granted)
             free.granted.push_back(grant.number);
         const auto grants = world.granted.size();
@@ -183,7 +187,7 @@
           std::vector<job_id>{first.task.job, own.task.job, last.task.job});
 }
 
-TEST_CASE("a late task takes no room from another entry's task in time")
+TEST_CASE("a late task does not start before another entry's task in time")
 {
     placement_world world(1);
     world.placing.set_grant_sender(&world);
@@ -200,7 +204,7 @@
     CHECK(world.granted[0].second.task == in_time.task);
 }
 
-TEST_CASE("late tasks leave a share of the cores to those that will come")
+TEST_CASE("late tasks leave a share of the cores free")
 {
     placement_world world(1, 1, 0.25);
     world.runner("a", "rack-1", 11000); // 5 of 16 cores are free.
@@ -211,7 +215,8 @@
     world.placing.enqueue(also_late);
     world.loop.advance(milliseconds{20});
     world.placing.dispatch();
-    CHECK(world.placed.empty()); // 3.4 would be left of the 4 kept free.
+    CHECK(world.placed.empty()); // Placing would leave 3.4 of the 4 reserved
+                                 // cores.
     CHECK(world.place(world.task("", slack)) == "a");
     world.placing.reported("a", placement_world::report("rack-1", 10000));
     world.placing.dispatch();
@@ -220,37 +225,38 @@
     CHECK(world.placing.waiting() == 1);
 }
 
-TEST_CASE("granted room is taken until its order has come or cannot come")
+TEST_CASE("granted room is reserved until its order arrives or the grant ends")
 {
     placement_world world(1);
     world.placing.set_grant_sender(&world);
-    world.runner("a", "rack-1", 14400); // Room for one.
+    world.runner("a", "rack-1", 14400); // Room for one task.
     world.placing.enqueue(world.task_of(1, slack));
     world.placing.dispatch();
     REQUIRE(world.granted.size() == 1);
     CHECK(world.place(world.task("", slack)).empty());
     const auto number = world.granted[0].second.number;
-    SECTION("the agent tells that it has come")
+    SECTION("the agent reports the order")
     {
         auto report = placement_world::report("rack-1", 14400);
         report.granted = {number};
         world.placing.reported("a", report);
         CHECK(world.place_again() == "a");
     }
-    SECTION("its entry declines it")
+    SECTION("its entry declines the grant")
     {
         world.placing.declined(1, {"a", number, false});
         CHECK(world.place_again() == "a");
         CHECK(world.placing.stats().declined == 1);
     }
-    SECTION("its entry is lost")
+    SECTION("the grant expires")
     {
         world.loop.advance(milliseconds{160});
         CHECK(world.place_again() == "a");
     }
 }
 
-TEST_CASE("an entry without a session with an agent gets no grants there")
+TEST_CASE(
+    "an entry without a session with an agent gets no grants there for a while")
 {
     placement_world world(1);
     world.placing.set_grant_sender(&world);
@@ -272,7 +278,7 @@
 
 TEST_CASE("a job that waits at two entries is placed for both")
 {
-    // Its caller has sent it again to another entry.
+    // The caller has sent the job again to another entry.
     placement_world world(1);
     world.placing.set_grant_sender(&world);
     world.runner("a", "rack-1");
@@ -285,7 +291,7 @@
     CHECK(world.granted.size() == 1);
 }
 
-TEST_CASE("tasks of an entry that is lost are dropped, and no others")
+TEST_CASE("only the tasks of a lost entry are dropped")
 {
     placement_world world(1);
     world.placing.set_grant_sender(&world);
@@ -300,11 +306,11 @@
     CHECK(world.placed.size() == 1);
 }
 
-TEST_CASE("the rest of a job that began in time goes first, also when late")
+TEST_CASE(
+    "the rest of a job that began in time goes first even when it is late")
 {
-    // Found on saturated deployments: jobs that lacked one of nine tasks were
-    // held behind all that was in time, to the end of their callers' patience,
-    // and answered 504 then.
+    // Guards against begun jobs that wait behind all tasks in time until their
+    // callers time out.
     placement_world world(3, 1, 0.15);
     world.runner("a", "rack-1", 14000); // Room for one task.
     auto first = world.task("", slack);
@@ -327,10 +333,10 @@
     CHECK(world.placed.back() == other.task.job);
 }
 
-TEST_CASE("a late job that has not begun leaves room to those in time")
+TEST_CASE("a late job that has not begun does not take reserved room")
 {
     placement_world world(3, 1, 0.15);
-    world.runner("a", "rack-1", 14000); // An eighth is free.
+    world.runner("a", "rack-1", 14000); // An eighth of the cores is free.
     const auto late = world.task("", slack);
     world.loop.advance(slack + milliseconds{10});
     CHECK(world.place(late).empty());
--- a/tests/unit/durable/evacuation_tests.cpp
+++ b/tests/unit/durable/evacuation_tests.cpp
@@ -1,4 +1,4 @@
-// How evacuations of halls reach the agents.
+// Tests of how evacuations of halls reach entries and agents.
 #include "glenhollow/core/run_after.hpp"
 #include "glenhollow/durable/agent_sessions.hpp"
 #include "glenhollow/durable/entry_peers.hpp"
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// An entry that tells agents what it knows of their hall.
+/// An entry that sends a set evacuation state to its agents.
 struct evacuation_entry : agent_session_listener
 {
     void agent_attached(const std::string&, const runner_report&) override {}
@@ -51,7 +51,7 @@
     runner_phase phase = runner_phase::absent;
 };
 
-/// An entry's exchanges with others.
+/// Merges the evacuated halls of peers into its own view.
 struct exchanging_entry : entry_peer_handler
 {
     explicit exchanging_entry(std::string name) { view.name = std::move(name); }
@@ -76,29 +76,30 @@
 
 } // namespace
 
-TEST_CASE("what is known of halls is replaced by later versions alone")
+TEST_CASE("only a later version replaces the evacuated halls")
 {
     evacuated_halls halls;
     halls.note("hall-1", true);
-    CHECK_FALSE(halls.contains("hall-1")); // Not all rows were told yet.
+    CHECK_FALSE(halls.contains("hall-1")); // Not all rows have been read.
     CHECK(halls.complete(7));
     CHECK(halls.contains("hall-1"));
-    CHECK_FALSE(halls.take(6, {"hall-2"})); // An entry that is behind.
+    CHECK_FALSE(halls.take(6, {"hall-2"})); // An entry with an older version.
     CHECK_FALSE(halls.contains("hall-2"));
-    CHECK(halls.take(9, {})); // Taken back, as another entry has read.
+    CHECK(halls.take(9, {})); // Another entry has read the end of the
+                              // evacuation.
     CHECK_FALSE(halls.contains("hall-1"));
-    CHECK_FALSE(halls.complete(8)); // This entry's feed comes later.
+    CHECK_FALSE(halls.complete(8)); // This entry's own feed is behind.
     CHECK_FALSE(halls.contains("hall-1"));
     halls.note("hall-1", false);
     CHECK_FALSE(halls.complete(9));
     CHECK(halls.version() == 9);
 }
 
-TEST_CASE("nothing is said of a hall that is not known")
+TEST_CASE("the state of an unknown hall has no version")
 {
-    // Found on a deployment: agents that had restarted reported before their
-    // backend servers registered, were told of no evacuation as of the newest
-    // version, and did not hear the truth at that same version any more.
+    // An agent that reports before its backend server has registered must not
+    // be sent "not evacuated" with the newest version, since it would then
+    // ignore the true state at that version.
     evacuated_halls halls;
     halls.take(7, {"hall-1"});
     CHECK(halls.of("").version == 0);
@@ -108,14 +109,15 @@
     CHECK(halls.of("hall-2").version == 7);
 }
 
-TEST_CASE("the operator's rows of evacuations have a place of their own")
+TEST_CASE("evacuations are read from the operator's table")
 {
     const auto place = platform::operator_configuration();
     CHECK(place.table == "op");
     CHECK(place.evacuation_prefix + "olten-a" == "evacuate/olten-a");
 }
 
-TEST_CASE("an agent in an evacuated hall takes nothing, until it is taken back")
+TEST_CASE(
+    "an agent drains while its hall is evacuated and is ready again afterwards")
 {
     rpc_loop loop;
     manual_loop runner_loop;
@@ -154,7 +156,7 @@
         if (entry.phase == runner_phase::draining && phases.size() == 1)
         {
             phases.push_back(entry.phase);
-            entry.evacuation = {true, 6}; // An entry that is behind.
+            entry.evacuation = {true, 6}; // An entry with an older version.
             entry.evacuation = {false, 8};
         }
         if (entry.phase == runner_phase::ready && phases.size() == 2)
@@ -181,7 +183,8 @@
     CHECK_FALSE(manager.evacuated());
 }
 
-TEST_CASE("an entry that the store turns away learns evacuations from others")
+TEST_CASE(
+    "an entry without access to the store learns evacuations from its peers")
 {
     rpc_loop loop;
     exchanging_entry informed("informed");
--- a/tests/unit/durable/lease_timing_tests.cpp
+++ b/tests/unit/durable/lease_timing_tests.cpp
@@ -15,12 +15,12 @@
 
 } // namespace
 
-TEST_CASE("the defaults keep all margins", "[margins]")
+TEST_CASE("the defaults satisfy all bounds", "[margins]")
 {
     CHECK(cause(default_lease_timing()) == "");
 }
 
-TEST_CASE("a margin that does not hold names both settings", "[margins]")
+TEST_CASE("the error of a violated bound names both settings", "[margins]")
 {
     auto longer = default_lease_timing();
     longer.memory_lease = milliseconds{950};
@@ -49,10 +49,10 @@
     CHECK(cause(session).find("session_silence") == 0);
 }
 
-TEST_CASE("a margin counts the drift of clocks on both sides", "[margins]")
+TEST_CASE("a bound includes the clock drift on both sides", "[margins]")
 {
-    // 0.8 + 0.35 s: 1,173 ms on a slow clock, 20 ms more for a slow server,
-    // against a bound on a fast clock.
+    // The lease of 0.8 s and the stop time of 0.35 s last up to 1,173 ms on a
+    // slow clock, plus 20 ms for a slow server; the bound runs on a fast clock.
     auto one = default_lease_timing();
     one.callers_wait = milliseconds{1219};
     CHECK(cause(one) == "");
--- a/tests/unit/durable/overload_plan_tests.cpp
+++ b/tests/unit/durable/overload_plan_tests.cpp
@@ -9,7 +9,7 @@
 
 constexpr instant now = seconds{10};
 
-/// @return One task of 100 core-milliseconds.
+/// @return A task of 100 core-milliseconds.
 waiting_task task(job_id job, duration slack, std::uint32_t priority = 0)
 {
     return {job, priority, now + slack, 100, false};
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("while all can be in time nobody stands back")
+TEST_CASE("no job is demoted while all can be in time")
 {
     CHECK(jobs_to_demote({task(1, milliseconds{0}), task(2, milliseconds{50}),
                           task(3, milliseconds{100})},
@@ -29,9 +29,9 @@
     CHECK(jobs_to_demote({task(1, milliseconds{-1})}, 0, now).empty());
 }
 
-TEST_CASE("under overload some jobs stand back so that the rest are in time")
+TEST_CASE("under overload jobs are demoted until the rest are in time")
 {
-    // By urgency alone, jobs 2 to 6 would all start late.
+    // Jobs 2 to 6 would all start late in the order of urgency.
     std::vector<waiting_task> tasks;
     for (job_id job = 1; job <= 6; ++job)
         tasks.push_back(task(job, milliseconds{40}));
@@ -39,7 +39,7 @@
     CHECK(back.size() == 5);
 }
 
-TEST_CASE("what is least important stands back first")
+TEST_CASE("the job of the lowest priority is demoted first")
 {
     CHECK(
         jobs_to_demote({task(1, milliseconds{10}), task(2, milliseconds{20}, 2),
@@ -47,7 +47,7 @@
                        2, now) == jobs{2});
 }
 
-TEST_CASE("a job that has begun goes on")
+TEST_CASE("a job that has begun is not demoted")
 {
     auto begun = task(1, milliseconds{10}, 2);
     begun.begun = true;
@@ -55,7 +55,7 @@
           jobs{2});
 }
 
-TEST_CASE("a job stands back with all its tasks")
+TEST_CASE("a job is demoted with all its tasks")
 {
     CHECK(jobs_to_demote({task(1, milliseconds{10}, 1),
                           task(1, milliseconds{10}, 1),
--- a/tests/unit/durable/placement_world.hpp
+++ b/tests/unit/durable/placement_world.hpp
@@ -9,7 +9,7 @@
 namespace glenhollow
 {
 
-/// A dispatcher over runners of two racks that do as they are told.
+/// A dispatcher with scripted backend servers in two racks.
 struct placement_world : order_sender, task_source, grant_sender
 {
     explicit placement_world(double far_factor = 3, std::uint64_t seed = 1,
@@ -29,7 +29,8 @@
         return out;
     }
 
-    /// @param taken Thousandths of a core that its agent says are taken.
+    /// @param taken The used CPU that its agent reports, in thousandths of a
+    /// core.
     void runner(const std::string& name, const std::string& rack,
                 std::uint32_t taken = 0)
     {
@@ -45,11 +46,11 @@
         out.account.phase = runner_phase::ready;
         out.account.labels = {"kind-a", rack};
         out.room.used = {taken, 0, 0};
-        out.received = 1000; // All that was sent.
+        out.received = 1000; // Acknowledges all batches.
         return out;
     }
 
-    /// @param slack Until it must start near its data to be in time.
+    /// @param slack The time until its latest start with the preferred label.
     ready_task task(const std::string& rack, duration slack)
     {
         ready_task out;
@@ -63,7 +64,8 @@
         return out;
     }
 
-    /// @return Where the only task that was placed went; empty: nowhere.
+    /// @return The agent of the task that was placed last; empty: none was
+    /// placed.
     std::string place(const ready_task& wanted)
     {
         starts.clear();
@@ -120,7 +122,7 @@
     job_id jobs = 0;
 };
 
-/// Of a short task.
+/// Slack of a short task.
 inline constexpr duration slack = milliseconds{96};
 
 } // namespace glenhollow
--- a/tests/unit/durable/placer_choice_tests.cpp
+++ b/tests/unit/durable/placer_choice_tests.cpp
@@ -17,7 +17,7 @@
     return {name, power, agents, can_place, started};
 }
 
-/// The only placer, of the only group.
+/// Returns the placer of the only group.
 std::string choice(const std::vector<placer_candidate>& candidates)
 {
     const auto placers = choose_placers(candidates, {});
@@ -25,7 +25,7 @@
     return placers.empty() ? "" : placers.front();
 }
 
-/// Entries that are all alike.
+/// Returns entries with equal properties.
 std::vector<placer_candidate> identical_entries(std::size_t count,
                                                 std::size_t agents)
 {
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("like entries choose the same one, in whatever order")
+TEST_CASE("the choice does not depend on the order of the candidates")
 {
     std::vector<placer_candidate> all{entry("a"), entry("b"), entry("c")};
     const auto chosen = choice(all);
@@ -56,27 +56,27 @@
         CHECK(choice(all) == chosen);
 }
 
-TEST_CASE("the most powerful entry places")
+TEST_CASE("the most powerful entry is the placer")
 {
     CHECK(choice({entry("a", 120), entry("b", 500), entry("c", 250)}) == "b");
 }
 
-TEST_CASE("an entry that is stopping or slow does not place")
+TEST_CASE("an entry that is stopping or slow is not a placer")
 {
     CHECK(choice({entry("a", 500, 11, false), entry("b", 120)}) == "b");
     CHECK(choice({entry("a", 500, 11, false)}).empty());
 }
 
-TEST_CASE("an entry that is cut from agents does not place")
+TEST_CASE("an entry without sessions with many agents is not a placer")
 {
     CHECK(choice({entry("a", 500, 6), entry("b", 120, 11)}) == "b");
-    // One agent less is no reason to move the queue.
+    // A single missing agent does not change the placer.
     CHECK(choice({entry("a", 500, 10), entry("b", 120, 11)}) == "a");
-    // One that has just begun and reaches nobody.
+    // An entry without sessions is not a placer.
     CHECK(choice({entry("a", 500, 0)}).empty());
 }
 
-TEST_CASE("an entry that comes back does not take the queue away")
+TEST_CASE("a restarted entry does not replace the placer")
 {
     for (const std::string returned : {"a", "b"})
     {
@@ -84,14 +84,14 @@
         CHECK(choice({entry(returned, 250, 11, true, 1040),
                       entry(other, 250, 11, true, 1000)}) == other);
     }
-    // All that start together are alike.
+    // Entries that start together count as equally old.
     CHECK(choice({entry("a", 250, 11, true, 1001),
                   entry("b", 250, 11, true, 1002)}) ==
           choice({entry("a", 250, 11, true, 1002),
                   entry("b", 250, 11, true, 1001)}));
 }
 
-TEST_CASE("more agents than one placer can bear are divided")
+TEST_CASE("many agents are divided among several placers")
 {
     CHECK(choose_placers(identical_entries(5, 80), {}).size() == 1);
     CHECK(choose_placers(identical_entries(5, 3), {}).size() == 1);
@@ -100,10 +100,10 @@
     CHECK(choose_placers(identical_entries(2, 240), {}).size() == 2);
 }
 
-TEST_CASE("placers that notice first that agents have gone keep their groups")
+TEST_CASE("placers that notice the loss of agents first keep their groups")
 {
-    // Found on a deployment of 240 agents: 36 went, the placers heard of it
-    // two seconds before the others, and the groups changed hands 11 times.
+    // Placers notice the loss of agents before other entries do. Groups must
+    // not change their placers in that time.
     auto all = identical_entries(15, 240);
     const auto before = choose_placers(all, {});
     for (auto& one : all)
@@ -112,11 +112,11 @@
             one.agents = 204;
     }
     CHECK(choose_placers(all, {}) == before);
-    all[0].agents = 243; // New ones come before the old ones are forgotten.
+    all[0].agents = 243; // New agents join before lost ones are removed.
     CHECK(choose_placers(all, {}) == before);
 }
 
-TEST_CASE("the loss of a placer leaves most other groups with theirs")
+TEST_CASE("the loss of a placer moves few other groups")
 {
     const auto all = identical_entries(15, 240);
     const auto before = choose_placers(all, {});
@@ -135,7 +135,7 @@
     }
 }
 
-TEST_CASE("groups are of like size, and one more moves few agents")
+TEST_CASE("groups are balanced, and an added group moves few agents")
 {
     const auto all = agents(240);
     std::vector<std::size_t> sizes(3);
@@ -153,5 +153,6 @@
         CHECK(size > 55);
         CHECK(size < 105);
     }
-    CHECK(moved < 80); // A quarter, all of them to the new group.
+    CHECK(moved < 80); // The expected number is 60, all of them to the new
+                       // group.
 }
--- a/tests/unit/durable/restarted_server_links_tests.cpp
+++ b/tests/unit/durable/restarted_server_links_tests.cpp
@@ -1,4 +1,4 @@
-// A backend server that runs again under its id, as entries see it.
+// Tests of a backend server that restarts under its id, as entries see it.
 #include "glenhollow/core/run_after.hpp"
 #include "glenhollow/durable/agent_sessions.hpp"
 #include "glenhollow/durable/agent_view.hpp"
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// An entry that keeps the view of one agent.
+/// An entry that keeps a view of one agent.
 struct viewing_entry : agent_session_listener
 {
     void agent_attached(const std::string&, const runner_report& told) override
@@ -54,11 +54,11 @@
 
 } // namespace
 
-TEST_CASE("entries learn what a server is that ran again under its id",
+TEST_CASE("entries learn the capacity of a server that restarts under its id",
           "[restarted_server]")
 {
-    // It may be of another kind: an entry that kept the room of the last life
-    // would send it more than it holds.
+    // The new server may be of another kind. An entry that keeps the old
+    // capacity would overload it.
     rpc_loop loop;
     manual_loop time;
     fake_runner_port server(time);
--- a/tests/unit/durable/server_order_tests.cpp
+++ b/tests/unit/durable/server_order_tests.cpp
@@ -1,4 +1,4 @@
-// Which backend server a task goes to: cold, leaving, quick and slow ones.
+// Tests of the choice among cold, leaving, fast and slow backend servers.
 #include "unit/durable/coordinator_fixture.hpp"
 #include "unit/durable/placement_world.hpp"
 
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// Servers of known pace, by the order of a setting.
+/// A dispatcher with a given server order and servers of known pace.
 struct paced_world : placement_world
 {
     explicit paced_world(server_order order)
@@ -32,7 +32,7 @@
         ordered.adopted(name, memory_part);
     }
 
-    /// @return Where a task goes.
+    /// @return The agent at which a new task is placed; empty: none.
     std::string place_one()
     {
         starts.clear();
@@ -44,7 +44,7 @@
     dispatcher ordered;
 };
 
-/// @param left Of a server that leaves.
+/// @param left The time until the server leaves.
 runner_report leaving_report(duration left)
 {
     auto out = placement_world::report("rack-1", 0);
@@ -55,7 +55,7 @@
 
 } // namespace
 
-TEST_CASE("the quickest first: a task goes to the quickest with room to spare")
+TEST_CASE("order fastest: a task goes to the fastest server with room to spare")
 {
     paced_world world(server_order::fastest);
     world.server("quick", 0.6);
@@ -64,7 +64,7 @@
     CHECK(world.place_one() == "quick");
 }
 
-TEST_CASE("the earliest end: a quick server goes before one with much room")
+TEST_CASE("order earliest-end: a fast server goes before one with much room")
 {
     paced_world world(server_order::earliest_end);
     world.server("quick", 0.6, 13000);
@@ -76,7 +76,7 @@
     CHECK(other.place_one() == "usual");
 }
 
-TEST_CASE("a cold server comes behind warm ones until its time is over")
+TEST_CASE("a cold server ranks behind warm ones until its cold time is over")
 {
     placement_world world;
     world.runner("warm", "rack-1", 12000);
@@ -101,7 +101,7 @@
     CHECK(world.placing.stats().cold == 1);
 }
 
-TEST_CASE("the room of a leaving server is out of the plans at once")
+TEST_CASE("the cores of a leaving server stop counting at once")
 {
     placement_world world;
     world.runner("a", "rack-1");
@@ -116,7 +116,7 @@
     CHECK(world.placing.stats().leaving == 1);
 }
 
-TEST_CASE("a task waits for no room at its data where that server leaves")
+TEST_CASE("a task does not wait for a leaving server with its preferred label")
 {
     placement_world world;
     world.runner("a", "rack-1");
@@ -128,7 +128,7 @@
     CHECK(world.place_again() == "a");
 }
 
-TEST_CASE("cores of a leaving server do not keep its rack from being hot")
+TEST_CASE("cores of a leaving server do not count as cores of its label")
 {
     placement_world world;
     world.runner("a", "rack-1", 8000);
@@ -149,7 +149,7 @@
     CHECK(world.place(world.task("", slack)) == "a");
 }
 
-TEST_CASE("runs stopped because their server leaves are not held against it")
+TEST_CASE("runs stopped because their server leaves do not eject it")
 {
     placement_world world;
     world.runner("a", "rack-1");
@@ -162,7 +162,7 @@
     CHECK(world.place(world.task("", slack)) == "a");
 }
 
-TEST_CASE("an order tells what it takes there, as far from its data as it is")
+TEST_CASE("the expected time in an order includes the far factor")
 {
     placement_world world(1.5);
     world.runner("a", "rack-1");
@@ -173,7 +173,7 @@
     CHECK(world.orders[1].expected_ms == 90);
 }
 
-TEST_CASE("the pace that an agent tells counts, until its server is another")
+TEST_CASE("the pace that an agent reports is used until its server changes")
 {
     agent_view view("agent-1");
     auto report = placement_world::report("rack-1", 0);
@@ -185,7 +185,7 @@
     view.reported(report);
     CHECK(view.pace() == Approx(1.6));
     view.detached();
-    view.attached(report); // The same life.
+    view.attached(report); // The same life of the server.
     CHECK(view.pace() == Approx(1.6));
     report.account.instance = "life-2";
     report.account.born_ms = 1000;
@@ -198,7 +198,8 @@
     CHECK(view.pace() == Approx(1.0));
 }
 
-TEST_CASE("a task stopped at a leaving server starts elsewhere, once it ended")
+TEST_CASE(
+    "a task stopped at a leaving server restarts elsewhere only after its end")
 {
     coordinator_fixture world;
     world.in_memory();
@@ -211,7 +212,7 @@
     leaving.room.leaves_in = seconds{2};
     world.placing.reported(agent, leaving);
     world.settle();
-    CHECK(world.started.empty()); // It may still run there.
+    CHECK(world.started.empty()); // The run has not ended yet.
     world.end(agent, run, run_outcome::stopped);
     REQUIRE(world.started.size() == 1);
     CHECK(world.started[0].first == other);
@@ -221,9 +222,9 @@
     CHECK(world.replies.at(1).state == job_state::succeeded);
 }
 
-TEST_CASE("a task moved to a server that leaves as well is moved once more")
+TEST_CASE("a task moved to a second leaving server is moved again")
 {
-    // Two waves that overlap.
+    // The second server leaves while the first one is still leaving.
     coordinator_fixture world;
     world.in_memory();
     world.submit(coordinator_fixture::memory_job(1, 1));
@@ -248,18 +249,19 @@
     CHECK(world.replies.at(1).state == job_state::succeeded);
 }
 
-TEST_CASE("an order of a job in memory tells how long its end is of use")
+TEST_CASE("an order of a job in memory carries the time that its end is useful")
 {
     coordinator_fixture world;
     world.in_memory();
     for (const auto* name : {"agent-1", "agent-2"})
     {
         auto full = coordinator_fixture::report(name, runner_phase::ready);
-        full.room.used = full.account.capacity; // The task waits.
+        full.room.used = full.account.capacity; // The task has to wait.
         world.placing.reported(name, full);
     }
     ready_task wanted;
-    world.submit(coordinator_fixture::memory_job(1, 1)); // Of 3 s.
+    // The job's end is useful for 3 s.
+    world.submit(coordinator_fixture::memory_job(1, 1));
     wanted.task.job = 1;
     const auto order = world.coordinator->assign(wanted, "agent-1");
     REQUIRE(order);
--- a/tests/unit/durable/shared_placement_tests.cpp
+++ b/tests/unit/durable/shared_placement_tests.cpp
@@ -1,4 +1,4 @@
-// An entry and its placer over a real link.
+// Tests of an entry and its placer over real connections.
 #include "glenhollow/core/run_after.hpp"
 #include "glenhollow/durable/placement_groups.hpp"
 #include "glenhollow/durable/placement_server.hpp"
@@ -16,7 +16,7 @@
 
 constexpr std::uint64_t placer_incarnation = 77;
 
-/// A queue, with agents that take what they are told.
+/// A dispatcher with one agent that accepts all orders.
 struct queue_fixture : order_sender, task_source
 {
     queue_fixture() : placing(process_clock(), *this, *this, {})
@@ -59,20 +59,20 @@
     dispatcher placing;
 };
 
-/// Whether the placer answers what it is told.
+/// Whether the placer answers its calls.
 enum class placer_behavior
 {
     answers,
     silent
 };
 
-/// A session that never answers, as that of a frozen process.
+/// A session that never answers, like one of a frozen process.
 class silent_session final : public wire::PlacementSession::Server
 {
     kj::Promise<void> want(WantContext) override { return kj::NEVER_DONE; }
 };
 
-/// The placer as the entry's link sees it.
+/// Serves the placer's side of the entry's connection.
 class placer_peer final : public wire::EntryPeer::Server
 {
 public:
@@ -102,12 +102,12 @@
     }
 
 private:
-    placement_server& placements_; ///< Outlives the peer.
-    placer_behavior behavior_;     ///< How it behaves.
-    std::string name_;             ///< As it tells it.
+    placement_server& placements_; ///< Must outlive the peer.
+    placer_behavior behavior_;     ///< Whether it answers.
+    std::string name_;             ///< Name in its view.
 };
 
-/// Gives a place with a session that does nothing.
+/// An entry that opens placement sessions which never answer.
 struct idle_handler : idle_entry
 {
     idle_handler() : idle_entry("entry") {}
@@ -119,7 +119,8 @@
     }
 };
 
-/// Plays until a condition holds; a deadlock is left to the test's timeout.
+/// Runs an entry and a placer until a condition holds. The test's timeout ends
+/// a deadlock.
 struct placement_fixture
 {
     explicit placement_fixture(placer_behavior behavior) : behavior(behavior)
@@ -177,7 +178,7 @@
 
 } // namespace
 
-TEST_CASE("a task waits at the placer and is ordered by its own entry, once")
+TEST_CASE("a delegated task is ordered once, by its own entry")
 {
     placement_fixture fixture(placer_behavior::answers);
     bool enqueued = false;
@@ -197,7 +198,7 @@
     CHECK(fixture.client->stats().unused == 0);
 }
 
-TEST_CASE("without an answer of its placer an entry places by itself")
+TEST_CASE("an entry places its tasks itself if its placer does not answer")
 {
     placement_fixture fixture(placer_behavior::silent);
     bool enqueued = false;
@@ -214,7 +215,7 @@
     CHECK(fixture.client->stats().failures >= 1);
 }
 
-TEST_CASE("a session takes its waiting tasks along")
+TEST_CASE("the end of a session drops its waiting tasks at the placer")
 {
     placement_fixture fixture(placer_behavior::answers);
     runner_report full;
@@ -232,14 +233,15 @@
                           return;
                       fixture.entry.placing.enqueue(queue_fixture::task(1));
                   });
-    CHECK(fixture.placer.placing.waiting() == 0); // The link has been closed.
-    CHECK(fixture.entry.placing.waiting() == 1);  // Its entry still has it.
+    CHECK(fixture.placer.placing.waiting() == 0); // The connection was closed.
+    CHECK(fixture.entry.placing.waiting() == 1);  // Its entry still has the
+                                                  // task.
 }
 
 namespace
 {
 
-/// An entry with two placers, one of which is silent.
+/// An entry with two placers, one of which never answers.
 struct two_placers_fixture
 {
     two_placers_fixture()
@@ -251,7 +253,8 @@
             process_clock(), peers, entry.placing, [] {}, limits);
     }
 
-    /// @param agents That each placer reaches: one for each group.
+    /// @param agents The number of agents of each placer, which is the number
+    /// of groups.
     void until(std::size_t agents, const std::function<bool()>& holds,
                const std::function<void()>& at_each_step)
     {
@@ -264,7 +267,7 @@
             if (holds())
                 return loop.stop();
             peers.tick();
-            // The silent one is the most powerful, so it is the first choice.
+            // The silent one is the most powerful, so that it is chosen first.
             client->choose({{"silent", 500, agents, true, 0},
                             {"placer", 250, agents, true, 0}});
             at_each_step();
@@ -295,7 +298,7 @@
             });
     }
 
-    /// Wants a task placed as soon as the silent placer could be asked.
+    /// Queues tasks once the session with the silent placer is open.
     void enqueue_once()
     {
         if (client->placers().find("silent") == std::string::npos ||
@@ -331,10 +334,11 @@
     std::set<job_id> ordered;
     for (const auto& order : fixture.entry.orders)
         ordered.insert(order.run.task.job);
-    CHECK(ordered.size() == two_placers_fixture::jobs); // Each of them once.
+    // Each task was ordered once.
+    CHECK(ordered.size() == two_placers_fixture::jobs);
 }
 
-TEST_CASE("with one group the next placer takes over from a silent one")
+TEST_CASE("with one group the next placer replaces a silent one")
 {
     two_placers_fixture fixture;
     fixture.until(
