--- a/programs/durable_entry.cpp
+++ b/programs/durable_entry.cpp
@@ -116,7 +116,7 @@
         out.dispatch.late_reserve = settings_.late_reserve;
         out.dispatch.order = settings_.order;
         out.cancellation.cache.retention = seconds{settings_.cancel_memory_s};
-        out.power = settings_.cpu_share * settings_.cores;
+        out.cpu_cores = settings_.cpu_share * settings_.cores;
         out.dispatch.far_factor = settings_.far_factor;
         out.catalog = platform::operator_configuration();
         out.handover = settings_.handover;
--- a/src/glenhollow/durable/configuration_keeper.hpp
+++ b/src/glenhollow/durable/configuration_tracker.hpp
@@ -1,5 +1,5 @@
-#ifndef GLENHOLLOW_DURABLE_CONFIGURATION_KEEPER_HPP
-#define GLENHOLLOW_DURABLE_CONFIGURATION_KEEPER_HPP
+#ifndef GLENHOLLOW_DURABLE_CONFIGURATION_TRACKER_HPP
+#define GLENHOLLOW_DURABLE_CONFIGURATION_TRACKER_HPP
 
 #include "glenhollow/core/clock.hpp"
 #include "glenhollow/core/names.hpp"
@@ -41,29 +41,29 @@
 };
 
 /// Limits of a configuration keeper.
-struct configuration_keeper_settings
+struct configuration_tracker_settings
 {
     /// The store brings a new version to all entries; a copy from a peer would
     /// only fill that peer's link, 250 KB for each entry that asks. Where
     /// nothing is in force every request is refused, and a peer is asked at
     /// once.
-    duration store_first = milliseconds{400};
+    duration store_grace = milliseconds{400};
     duration fetch_timeout = milliseconds{800}; ///< Then another peer is asked.
     /// Slices wait for requests no longer than this; the rest is read at once.
-    duration patience = milliseconds{500};
+    duration max_slice_wait = milliseconds{500};
     std::uint64_t seed = 1; ///< Of the choice among peers.
 };
 
 /// Numbers of a configuration keeper.
-struct configuration_keeper_stats
+struct configuration_tracker_stats
 {
-    std::uint64_t taken = 0;      ///< Versions put in force.
-    std::uint64_t repeated = 0;   ///< Documents known already, not read.
-    std::uint64_t older = 0;      ///< Read, and not newer.
-    std::uint64_t unreadable = 0; ///< Documents with a fault.
-    std::uint64_t slices = 0;     ///< Read in all.
-    std::uint64_t fetches = 0;    ///< Copies asked of peers.
-    latency_summary times;        ///< From a document's arrival to its force.
+    std::uint64_t applied = 0;  ///< Versions put in force.
+    std::uint64_t repeated = 0; ///< Documents known already, not read.
+    std::uint64_t stale = 0;    ///< Read, and not newer.
+    std::uint64_t invalid = 0;  ///< Documents with a fault.
+    std::uint64_t slices = 0;   ///< Read in all.
+    std::uint64_t fetches = 0;  ///< Copies asked of peers.
+    latency_summary times;      ///< From a document's arrival to its force.
 };
 
 /// Keeps the newest configuration of an entry: reads a document in slices
@@ -71,7 +71,7 @@
 /// for a copy where the store does not bring it. A version, once in force, is
 /// only replaced by a higher one. At most three documents are in memory: in
 /// force, being read, and waiting to be read.
-class configuration_keeper final
+class configuration_tracker final
 {
 public:
     /// Called once with the copy, or with nothing.
@@ -86,20 +86,20 @@
         std::function<void(std::function<void()>)> later;
         /// Asks a peer for its copy.
         std::function<void(const std::string& peer, copy_handler)> fetch;
-        std::function<void()> taken; ///< Told of each new version.
+        std::function<void()> applied; ///< Told of each new version.
     };
 
     /// @param around What surrounds it.
     /// @param settings Limits.
-    configuration_keeper(dependencies around,
-                         const configuration_keeper_settings& settings);
+    configuration_tracker(dependencies dependencies,
+                          const configuration_tracker_settings& settings);
 
     /// @param document Whole, perhaps known.
-    void from_store(const std::string& document);
+    void offer_from_store(const std::string& document);
 
     /// @param peer Another entry.
     /// @param version Newest that it has.
-    void heard(const std::string& peer, std::uint64_t version);
+    void peer_has_version(const std::string& peer, std::uint64_t version);
 
     /// Asks a peer where the store has not brought what others have.
     /// @param store_reachable Whether the store answers this entry.
@@ -112,14 +112,14 @@
     const std::string& document() const { return document_; }
 
     /// @return Numbers.
-    const configuration_keeper_stats& stats() const { return stats_; }
+    const configuration_tracker_stats& stats() const { return stats_; }
 
     /// @param page Gets the metrics.
     void collect(metric_page& page) const;
 
 private:
     /// A document that is to be read.
-    struct arrival
+    struct candidate
     {
         std::string document;        ///< Whole.
         configuration_source source; ///< Who brought it.
@@ -127,28 +127,29 @@
         instant at{};                ///< When it came.
     };
 
-    void offer(arrival one);
-    bool is_known(const arrival& one) const;
+    void offer(candidate one);
+    bool is_known(const candidate& one) const;
     void begin();
     void next_slice();
-    void ended(result<queue_catalog> read);
+    void finish_reading(result<queue_catalog> read);
     void fetch_from(const std::string& peer);
 
-    dependencies around_;                    ///< What surrounds it.
-    configuration_keeper_settings settings_; ///< Limits.
-    queue_catalog catalog_;                  ///< In force.
-    std::string document_;                   ///< Its source.
-    std::optional<arrival> reading_;         ///< Being read.
-    std::unique_ptr<catalog_reader> reader_; ///< Reads it.
-    std::optional<arrival> waiting_;         ///< To be read next.
-    std::size_t unreadable_ = 0; ///< Hash of the last one with a fault.
-    std::map<std::string, std::uint64_t> ahead_; ///< Peers with higher ones.
-    std::uint64_t highest_ = 0;                  ///< Version heard of.
-    instant behind_since_{};           ///< Since when it is higher than ours.
-    std::optional<instant> asked_;     ///< When a copy was asked for.
-    std::uint64_t asks_ = 0;           ///< Tells answers apart.
-    std::minstd_rand random_;          ///< Chooses among peers.
-    configuration_keeper_stats stats_; ///< Numbers.
+    dependencies dependencies_;               ///< What surrounds it.
+    configuration_tracker_settings settings_; ///< Limits.
+    queue_catalog catalog_;                   ///< In force.
+    std::string document_;                    ///< Its source.
+    std::optional<candidate> reading_;        ///< Being read.
+    std::unique_ptr<catalog_reader> reader_;  ///< Reads it.
+    std::optional<candidate> waiting_;        ///< To be read next.
+    std::size_t invalid_hash_ = 0; ///< Hash of the last one with a fault.
+    std::map<std::string, std::uint64_t>
+        newer_peers_;                   ///< Peers with higher ones.
+    std::uint64_t highest_known_ = 0;   ///< Version heard of.
+    instant behind_since_{};            ///< Since when it is higher than ours.
+    std::optional<instant> fetch_sent_; ///< When a copy was asked for.
+    std::uint64_t last_fetch_id_ = 0;   ///< Tells answers apart.
+    std::minstd_rand random_;           ///< Chooses among peers.
+    configuration_tracker_stats stats_; ///< Numbers.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/durable_cancels.cpp
+++ b/src/glenhollow/durable/durable_cancels.cpp
@@ -91,7 +91,7 @@
     return cancellation_.reject_if_cancelled(id);
 }
 
-memory_cancellation::journal_cancel durable_service::cancel_kept()
+memory_cancellation::journal_cancel durable_service::cancel_journalled()
 {
     return [this](job_id id, job_reply_handler done) {
         router_.route({job_verb::cancel, id, {}}, std::move(done));
--- a/src/glenhollow/durable/durable_members.cpp
+++ b/src/glenhollow/durable/durable_members.cpp
@@ -8,13 +8,13 @@
 namespace glenhollow
 {
 
-void durable_service::take_member(const stored_row& row)
+void durable_service::apply_member_row(const stored_row& row)
 {
     if (row.key.key == settings_.entry)
         return;
     if (row.gone)
     {
-        members_known_.erase(row.key.key);
+        member_addresses_.erase(row.key.key);
         directory_.erase(row.key.key);
         entries_.erase(row.key.key);
         return;
@@ -22,15 +22,15 @@
     const auto member = decode_member(row);
     if (!member)
     {
-        log_change(log_level::error, "member_unreadable",
+        log_change(log_level::error, "member_row_invalid",
                    {{"cause", member.error().text}});
         return;
     }
     const auto& known = member.value();
     const auto where = known.where.to_string();
     // A row that is told again may hold another memo for its next process.
-    if (std::exchange(members_known_[known.name], where) != where)
-        log_change(log_level::info, "member_known",
+    if (std::exchange(member_addresses_[known.name], where) != where)
+        log_change(log_level::info, "member_discovered",
                    {{"name", known.name},
                     {"role", to_name(known.role)},
                     {"where", where},
@@ -38,13 +38,13 @@
     if (known.role == member_role::agent)
         return directory_.set(known.name, known.where);
     entries_.insert(known.name);
-    strongest_ = std::max(strongest_, known.power);
+    max_entry_millicores_ = std::max(max_entry_millicores_, known.millicores);
     peers_.add(known.name, known.where);
 }
 
 /// Any agent may run a task of a journalled job, or be the only one with a
 /// label that a job needs.
-session_demand durable_service::session_needs() const
+session_demand durable_service::required_sessions() const
 {
     session_demand needs;
     needs.sample = handover_.sampled_agents();
@@ -55,10 +55,10 @@
     return needs;
 }
 
-void durable_service::choose_sessions()
+void durable_service::update_sessions()
 {
     const auto changes =
-        scope_.update(directory_, session_needs(), clock_.now());
+        scope_.update(directory_, required_sessions(), clock_.now());
     for (const auto& agent : changes.open)
         agents_.add(agent, directory_.agents().at(agent));
     for (const auto& agent : changes.end)
--- a/src/glenhollow/durable/durable_metrics.cpp
+++ b/src/glenhollow/durable/durable_metrics.cpp
@@ -101,10 +101,10 @@
     count("parts_released_total", "Parts given away", owner.released);
     count("part_claims_outlived_total",
           "Claims of which the store told that another one had followed",
-          owner.outlived);
+          owner.superseded);
     count("part_claims_unborne_total",
           "Times that nobody bore a claim out: its leases were left to end",
-          owner.unborne);
+          owner.unconfirmed);
     const auto& placed = dispatcher_.stats();
     count("tasks_placed_total", "Orders to start", placed.placed);
     count("tasks_stopped_total", "Orders to stop", placed.stopped);
@@ -124,7 +124,7 @@
     count("grants_declined_total", "Of these, not used", placed.declined);
     handover_.collect(page);
     count("peer_connects_total", "Attempts to connect to other entries",
-          peers_.attempts());
+          peers_.connect_attempts());
     page.gauge("agent_sessions", "Agents with which sessions are kept",
                static_cast<double>(scope_.size()));
     const auto placer = groups_.stats();
@@ -145,7 +145,7 @@
                reports_.rate());
     page.gauge("tasks_waiting", "Ready tasks without a place",
                static_cast<double>(dispatcher_.waiting()));
-    queues_.collect(page);
+    configuration_tracker_.collect(page);
     stalls_.collect(page);
     page.gauge("store_reachable", "1 while the store answers",
                store_.reachable() ? 1 : 0);
--- a/src/glenhollow/durable/durable_placement.cpp
+++ b/src/glenhollow/durable/durable_placement.cpp
@@ -26,12 +26,13 @@
 
 } // namespace
 
-void durable_service::note_lag(duration lag)
+void durable_service::record_timer_lag(duration lag)
 {
     auto& budget = placements_.active() ? placer_reports_ : reports_;
     budget.record_tick(lag);
-    lag_ += (lag - lag_) / lag_weight;
-    timely_ = lag_ < (timely_ ? untimely_lag : timely_lag);
+    timer_lag_ += (lag - timer_lag_) / lag_weight;
+    timers_on_time_ =
+        timer_lag_ < (timers_on_time_ ? untimely_lag : timely_lag);
 }
 
 duration durable_service::room_report_interval(const std::string& agent,
@@ -41,7 +42,7 @@
         return placer_reports_.gap(agents /
                                    std::max<std::size_t>(1, groups_.groups()));
     const auto gap = reports_.gap(agents);
-    if (!groups_.delegates() && !placements_.active() && !hands_all_over())
+    if (!groups_.delegates() && !placements_.active() && !delegates_all_jobs())
         return gap;
     const std::chrono::duration<double> share{static_cast<double>(agents) /
                                               idle_reports_per_second};
@@ -61,8 +62,8 @@
     const auto add = [&candidates](const entry_view& view)
     {
         candidates.push_back(
-            {view.name, view.power, view.agents,
-             view.timely && !view.stopping && view.catalog_version != 0,
+            {view.name, view.millicores, view.agents,
+             view.timers_on_time && !view.stopping && view.catalog_version != 0,
              view.started});
     };
     if (!handover_.active())
@@ -75,7 +76,7 @@
     groups_.flush();
     // Agents still report at the slow rate for an entry that does not place.
     const bool places =
-        placements_.active() || (!groups_.delegates() && !hands_all_over());
+        placements_.active() || (!groups_.delegates() && !delegates_all_jobs());
     if (places && !std::exchange(placing_, places))
         agents_.send_report_pacing();
     placing_ = places;
--- a/src/glenhollow/durable/durable_service.cpp
+++ b/src/glenhollow/durable/durable_service.cpp
@@ -24,23 +24,25 @@
 }
 
 template <class Settings>
-Settings named(Settings settings, const durable_service_settings& of)
+Settings with_identity(Settings settings, const durable_service_settings& of)
 {
     settings.entry = of.entry;
     settings.incarnation = of.incarnation;
     return settings;
 }
 
-part_ownership_settings ownership_of(const durable_service_settings& of)
+part_ownership_settings
+make_ownership_settings(const durable_service_settings& of)
 {
-    auto settings = named(of.ownership, of);
+    auto settings = with_identity(of.ownership, of);
     settings.parts = of.parts;
     settings.jobs.entry = of.entry;
     settings.jobs.parts = of.parts;
     return settings;
 }
 
-job_coordinator_settings memory_of(const durable_service_settings& of)
+job_coordinator_settings
+make_memory_settings(const durable_service_settings& of)
 {
     auto settings = memory_job_settings(of.memory);
     settings.entry = of.entry;
@@ -48,41 +50,42 @@
     return settings;
 }
 
-entry_peers_settings peers_of(const durable_service_settings& of)
+entry_peers_settings make_peer_settings(const durable_service_settings& of)
 {
     auto settings = of.peers;
     settings.gossip.seed = of.incarnation;
     return settings;
 }
 
-placement_groups_settings groups_of(const durable_service_settings& of)
+placement_groups_settings
+make_group_settings(const durable_service_settings& of)
 {
     auto settings = of.placement;
-    settings.client = named(settings.client, of);
+    settings.client = with_identity(settings.client, of);
     return settings;
 }
 
-dispatcher_settings dispatch_of(const durable_service_settings& of)
+dispatcher_settings make_dispatch_settings(const durable_service_settings& of)
 {
     auto settings = of.dispatch;
     settings.seed = of.incarnation;
     return settings;
 }
 
-std::uint32_t power_of(const durable_service_settings& of)
+std::uint32_t own_millicores(const durable_service_settings& of)
 {
     return static_cast<std::uint32_t>(of.power * millicores_per_core);
 }
 
-configuration_keeper_settings
-configuration_of(const durable_service_settings& of)
+configuration_tracker_settings
+make_configuration_settings(const durable_service_settings& of)
 {
     auto settings = of.configuration;
     settings.seed = of.incarnation;
     return settings;
 }
 
-job_router_settings router_of(const durable_service_settings& of)
+job_router_settings make_router_settings(const durable_service_settings& of)
 {
     auto settings = of.router;
     settings.parts = of.parts;
@@ -96,34 +99,38 @@
                                  catalog_parser parse,
                                  const durable_service_settings& settings)
     : io_(io), clock_(clock), settings_(settings),
-      store_(clock, store, settings.store_patience),
-      queues_(around_configuration(std::move(parse)),
-              configuration_of(settings)),
-      agents_(io, clock, *this, named(settings.agents, settings)),
-      peers_(io, clock, *this, peers_of(settings)),
-      dispatcher_(clock, agents_, *this, dispatch_of(settings)),
+      store_(clock, store, settings.store_timeout),
+      configuration_tracker_(configuration_dependencies(std::move(parse)),
+                             make_configuration_settings(settings)),
+      agents_(io, clock, *this, with_identity(settings.agents, settings)),
+      peers_(io, clock, *this, make_peer_settings(settings)),
+      dispatcher_(clock, agents_, *this, make_dispatch_settings(settings)),
       reports_(settings.reports), placer_reports_(settings.placer_reports),
       placements_(clock, dispatcher_, [this] { schedule_dispatch(); }),
       groups_(
           clock, peers_, dispatcher_, [this] { schedule_dispatch(); },
-          groups_of(settings)),
-      ownership_(dependencies(), peers_, *this, ownership_of(settings)),
-      memory_(dependencies(), memory_of(settings)),
-      handover_(handover_surroundings(), settings.handover),
-      router_(clock, delay(), ownership_, peers_, router_of(settings)),
-      cancellation_(clock, *this, *this, cancel_kept(), settings.cancellation),
-      members_(store_, delay(), std::string(members_table), settings.follower,
-               [this](const stored_row& row) { take_member(row); }),
-      configuration_(
+          make_group_settings(settings)),
+      ownership_(dependencies(), peers_, *this,
+                 make_ownership_settings(settings)),
+      memory_(dependencies(), make_memory_settings(settings)),
+      handover_(handover_dependencies(), settings.handover),
+      router_(clock, delay(), ownership_, peers_,
+              make_router_settings(settings)),
+      cancellation_(clock, *this, *this, cancel_journalled(),
+                    settings.cancellation),
+      member_rows_(store_, delay(), std::string(members_table),
+                   settings.follower,
+                   [this](const stored_row& row) { apply_member_row(row); }),
+      operator_rows_(
           store_, delay(), settings.catalog.table, settings.follower,
-          [this](const stored_row& row) { take_operator_row(row); },
+          [this](const stored_row& row) { apply_operator_row(row); },
           [this](std::uint64_t version) { operator_rows_current(version); }),
       announcer_(store_, delay(),
                  {settings.entry,
                   member_role::entry,
                   settings.where,
                   {},
-                  power_of(settings)})
+                  own_millicores(settings)})
 {
 }
 
@@ -154,7 +161,7 @@
     return {clock_, wall_milliseconds, store_, dispatcher_, delay()};
 }
 
-job_handover::dependencies durable_service::handover_surroundings()
+job_handover::dependencies durable_service::handover_dependencies()
 {
     return {settings_.entry,
             clock_,
@@ -174,8 +181,8 @@
 void durable_service::begin()
 {
     announcer_.begin();
-    configuration_.begin();
-    members_.begin();
+    operator_rows_.begin();
+    member_rows_.begin();
     tick();
 }
 
@@ -193,22 +200,23 @@
     const auto now = clock_.now();
     stalls_.ticked(now);
     if (tick_due_.count() != 0)
-        note_lag(now - tick_due_);
+        record_timer_lag(now - tick_due_);
     tick_due_ = now + tick_interval;
     peers_.tick();
     agents_.tick();
     ownership_.tick(store_.reachable());
     check_agents();
     probe_store();
-    queues_.tick(store_.reachable());
+    configuration_tracker_.tick(store_.reachable());
     log_load();
     memory_.tick();
     cancellation_.tick();
     dispatcher_.set_owners(peers_.live().size() + 1);
-    handover_.tick(
-        {entries_.size() + 1, std::max(strongest_, power_of(settings_))});
-    choose_sessions();
-    members_.pace(feed_interval(settings_.member_feed, entries_.size() + 1));
+    handover_.tick({entries_.size() + 1, std::max(max_entry_millicores_,
+                                                  own_millicores(settings_))});
+    update_sessions();
+    member_rows_.set_min_gap(
+        feed_interval(settings_.member_feed, entries_.size() + 1));
     choose_placer();
     schedule_dispatch();
     delay()(tick_interval, [this] { tick(); });
@@ -222,14 +230,14 @@
     for (auto& [agent, silence] : agent_silence_)
     {
         const auto length = now - silence.since;
-        if (!silence.memory_ended && length > memory_agent_timeout)
+        if (!silence.memory_runs_expired && length > memory_agent_timeout)
         {
-            silence.memory_ended = true;
+            silence.memory_runs_expired = true;
             memory_.on_agent_lost(agent);
         }
-        if (silence.parts_ended || length <= limit)
+        if (silence.journal_runs_expired || length <= limit)
             continue;
-        silence.parts_ended = true;
+        silence.journal_runs_expired = true;
         log_change(log_level::warning, "agent_given_up", {{"agent", agent}});
         ownership_.for_each([&agent = agent](job_coordinator& part)
                             { part.on_agent_lost(agent); });
@@ -240,9 +248,9 @@
 void durable_service::log_load()
 {
     const auto now = clock_.now();
-    if (now - load_logged_ < load_log_interval)
+    if (now - last_load_log_ < load_log_interval)
         return;
-    load_logged_ = now;
+    last_load_log_ = now;
     std::size_t linked = 0;
     std::size_t ready = 0;
     std::size_t ejected = 0;
@@ -273,16 +281,16 @@
 void durable_service::probe_store()
 {
     const auto now = clock_.now();
-    if (store_.reachable() || now - probed_ < probe_interval)
+    if (store_.reachable() || now - last_probe_ < probe_interval)
         return;
-    probed_ = now;
+    last_probe_ = now;
     store_.read({settings_.catalog.table, {}, settings_.catalog.key, {}, 1},
                 [this, alive = alive_](const read_result& got)
                 {
                     if (!*alive || !got.answered)
                         return;
                     for (const auto& row : got.rows)
-                        take_operator_row(row);
+                        apply_operator_row(row);
                 });
 }
 
@@ -303,7 +311,7 @@
 {
     stopping_ = true;
     ownership_.stop();
-    peers_.push();
+    peers_.exchange_all();
 }
 
 void durable_service::give_up_all()
@@ -325,16 +333,16 @@
 
 bool durable_service::ready() const
 {
-    return !stopping_ && queues_.catalog().version != 0;
+    return !stopping_ && configuration_tracker_.catalog().version != 0;
 }
 
 // Configuration.
 
-void durable_service::take_operator_row(const stored_row& row)
+void durable_service::apply_operator_row(const stored_row& row)
 {
     const auto& place = settings_.catalog;
     if (row.key.key == place.key && !row.gone)
-        return queues_.from_store(row.value);
+        return configuration_tracker_.offer_from_store(row.value);
     const auto& prefix = place.evacuation_prefix;
     if (!prefix.empty() && row.key.key.starts_with(prefix))
         evacuated_.note(row.key.key.substr(prefix.size()), !row.gone);
@@ -368,24 +376,24 @@
     return evacuated_.of(known->second.account().zone);
 }
 
-configuration_keeper::dependencies
-durable_service::around_configuration(catalog_parser parse)
+configuration_tracker::dependencies
+durable_service::configuration_dependencies(catalog_parser parse)
 {
-    return {
-        clock_, std::move(parse),
-        [later = delay()](std::function<void()> work)
-        { later(duration{0}, std::move(work)); },
-        [this](const std::string& peer, configuration_keeper::copy_handler done)
-        {
-            peers_.fetch_catalog(peer,
-                                 [alive = alive_, done = std::move(done)](
-                                     std::optional<configuration_copy> copy)
-                                 {
-                                     if (*alive)
-                                         done(std::move(copy));
-                                 });
-        },
-        [this] { peers_.gossip(); }};
+    return {clock_, std::move(parse),
+            [later = delay()](std::function<void()> work)
+            { later(duration{0}, std::move(work)); },
+            [this](const std::string& peer,
+                   configuration_tracker::copy_handler done)
+            {
+                peers_.fetch_catalog(peer,
+                                     [alive = alive_, done = std::move(done)](
+                                         std::optional<configuration_copy> copy)
+                                     {
+                                         if (*alive)
+                                             done(std::move(copy));
+                                     });
+            },
+            [this] { peers_.gossip(); }};
 }
 
 // Agents.
@@ -482,11 +490,11 @@
     view.released = ownership_.released();
     view.store_reachable = store_.reachable();
     view.stopping = stopping_;
-    view.catalog_version = queues_.catalog().version;
-    view.power = power_of(settings_);
-    view.timely = timely_;
+    view.catalog_version = configuration_tracker_.catalog().version;
+    view.power = own_millicores(settings_);
+    view.timers_on_time = timers_on_time_;
     view.agents = static_cast<std::uint32_t>(agents_.attached());
-    view.started = started_;
+    view.started = start_time_s_;
     view.evacuated = evacuated_;
     ownership_.for_each(
         [&view](job_coordinator& part)
@@ -497,17 +505,17 @@
     return view;
 }
 
-void durable_service::peer_seen(const entry_view& view)
+void durable_service::peer_view_received(const entry_view& view)
 {
     if (evacuated_.take(view.evacuated))
         log_evacuations("peer");
-    queues_.heard(view.name, view.catalog_version);
+    configuration_tracker_.peer_has_version(view.name, view.catalog_version);
 }
 
 void durable_service::serve(const job_call& call, job_reply_handler done)
 {
     if (call.verb == job_verb::cancel_in_memory)
-        cancellation_.on_peer_cancel(call.id, call.onward, std::move(done));
+        cancellation_.on_peer_cancel(call.id, call.forward_to, std::move(done));
     else
         router_.serve_locally(call, std::move(done));
     schedule_dispatch();
@@ -515,16 +523,16 @@
 
 // Parts.
 
-void durable_service::part_gained(part_epoch part)
+void durable_service::ownership_acquired(part_epoch part)
 {
     agents_.adopt(part);
-    peers_.push();
+    peers_.exchange_all();
 }
 
-void durable_service::part_given_up(part_number part)
+void durable_service::ownership_ended(part_number part)
 {
     dispatcher_.release(part);
-    peers_.push();
+    peers_.exchange_all();
 }
 
 std::optional<run_order> durable_service::assign(const ready_task& task,
@@ -541,7 +549,7 @@
 
 /// Then agents need hardly tell this entry of their room: hosts place. Jobs of
 /// the journal are placed here.
-bool durable_service::hands_all_over() const
+bool durable_service::delegates_all_jobs() const
 {
     return handover_.active() && dispatcher_.waiting() == 0;
 }
--- a/src/glenhollow/durable/durable_service.hpp
+++ b/src/glenhollow/durable/durable_service.hpp
@@ -2,7 +2,7 @@
 #define GLENHOLLOW_DURABLE_DURABLE_SERVICE_HPP
 
 #include "glenhollow/durable/agent_sessions.hpp"
-#include "glenhollow/durable/configuration_keeper.hpp"
+#include "glenhollow/durable/configuration_tracker.hpp"
 #include "glenhollow/durable/durable_jobs.hpp"
 #include "glenhollow/durable/entry_peers.hpp"
 #include "glenhollow/durable/job_router.hpp"
@@ -31,7 +31,7 @@
 {
 
 /// Where the configuration's document lies in the store.
-struct catalog_place
+struct catalog_location
 {
     std::string table;             ///< Kind of row; no part.
     std::string key;               ///< Of the configuration's row.
@@ -47,27 +47,27 @@
     std::uint64_t incarnation = 0; ///< Of this process.
     host_port where;               ///< Its address for links.
     std::size_t parts = 3;         ///< Of the journal, alike in all processes.
-    catalog_place catalog;         ///< Where the queues are told.
-    duration store_patience = milliseconds{500}; ///< Failing for so long, the
-                                                 ///< store is unreachable.
-    part_ownership_settings ownership;           ///< Limits.
-    job_coordinator_settings memory;             ///< Limits of jobs in memory.
-    agent_sessions_settings agents;              ///< Limits.
-    entry_peers_settings peers;                  ///< Limits.
-    job_router_settings router;                  ///< Limits.
-    memory_cancellation_settings cancellation;   ///< Limits.
-    dispatcher_settings dispatch;                ///< Limits.
-    report_budget_settings reports;              ///< Limits.
+    catalog_location catalog;      ///< Where the queues are told.
+    duration store_timeout = milliseconds{500}; ///< Failing for so long, the
+                                                ///< store is unreachable.
+    part_ownership_settings ownership;          ///< Limits.
+    job_coordinator_settings memory;            ///< Limits of jobs in memory.
+    agent_sessions_settings agents;             ///< Limits.
+    entry_peers_settings peers;                 ///< Limits.
+    job_router_settings router;                 ///< Limits.
+    memory_cancellation_settings cancellation;  ///< Limits.
+    dispatcher_settings dispatch;               ///< Limits.
+    report_budget_settings reports;             ///< Limits.
     report_budget_settings placer_reports{5000, 500}; ///< While placing for
                                                       ///< others, whose ends
                                                       ///< it must know too.
-    double power = 1.0;          ///< Of a core that this process may use.
+    double cpu_cores = 1.0;      ///< Of a core that this process may use.
     bool share_placement = true; ///< A group's placer places for all.
-    placement_groups_settings placement;         ///< Limits of the groups.
-    job_handover_settings handover;              ///< Of jobs to agents.
-    table_follower_settings follower;            ///< Limits.
-    feed_pacing_settings member_feed;            ///< Of the rows of processes.
-    configuration_keeper_settings configuration; ///< Limits.
+    placement_groups_settings placement;          ///< Limits of the groups.
+    job_handover_settings handover;               ///< Of jobs to agents.
+    table_follower_settings follower;             ///< Limits.
+    feed_pacing_settings member_feed;             ///< Of the rows of processes.
+    configuration_tracker_settings configuration; ///< Limits.
 };
 
 /// The durable jobs of one entry: owned parts, links, routing. Runs inside an
@@ -127,7 +127,10 @@
 
     // durable_jobs
 
-    const queue_catalog& catalog() const override { return queues_.catalog(); }
+    const queue_catalog& catalog() const override
+    {
+        return configuration_tracker_.catalog();
+    }
     std::function<void()> submit(const job_definition& job,
                                  job_reply_handler done) override;
     void cancel(job_id id, job_reply_handler done) override;
@@ -158,8 +161,9 @@
     }
     bool places_at(const std::string& agent) const override
     {
-        return placements_.active() ? groups_.in_own_group(agent)
-                                    : !groups_.delegates() && !hands_all_over();
+        return placements_.active()
+                   ? groups_.in_own_group(agent)
+                   : !groups_.delegates() && !delegates_all_jobs();
     }
     hall_evacuation evacuation_of(const std::string& agent) const override;
     wire::PlacementSession::Client
@@ -167,13 +171,19 @@
                    wire::PlacementGrants::Client grants) override;
 
     entry_view own_view() override;
-    void peer_seen(const entry_view& view) override;
+    void peer_view_received(const entry_view& view) override;
     void serve(const job_call& call, job_reply_handler done) override;
-    std::string catalog_document() override { return queues_.document(); }
+    std::string catalog_document() override
+    {
+        return configuration_tracker_.document();
+    }
     std::vector<cancel_record> cancelled_jobs() override;
 
     bool cancel_local(job_id id, job_reply_handler done) override;
-    std::vector<peer_status> all() const override { return peers_.reach(); }
+    std::vector<peer_status> all() const override
+    {
+        return peers_.connection_states();
+    }
     void cancel(const std::string& name, job_id id,
                 answer_handler done) override;
     void relay_cancel(const std::string& by, const std::string& name, job_id id,
@@ -181,31 +191,31 @@
     void fetch_cancels(const std::string& name,
                        cancel_records_handler done) override;
     std::optional<job_state> end_of_cancelled(job_id id);
-    memory_cancellation::journal_cancel cancel_kept();
+    memory_cancellation::journal_cancel cancel_journalled();
 
-    void part_gained(part_epoch part) override;
-    void part_given_up(part_number part) override;
+    void ownership_acquired(part_epoch part) override;
+    void ownership_ended(part_number part) override;
     std::set<std::string> possible_agents() const override;
 
     std::optional<run_order> assign(const ready_task& task,
                                     const std::string& agent) override;
 
     job_coordinator* coordinator_of(const run_ref& run);
-    job_handover::dependencies handover_surroundings();
+    job_handover::dependencies handover_dependencies();
     void submit_here(const job_definition& job, job_reply_handler done);
-    bool hands_all_over() const;
-    session_demand session_needs() const;
-    void choose_sessions();
-    void take_member(const stored_row& row);
-    void take_operator_row(const stored_row& row);
+    bool delegates_all_jobs() const;
+    session_demand required_sessions() const;
+    void update_sessions();
+    void apply_member_row(const stored_row& row);
+    void apply_operator_row(const stored_row& row);
     void operator_rows_current(std::uint64_t version);
     void log_evacuations(std::string_view source);
-    configuration_keeper::dependencies
-    around_configuration(catalog_parser parse);
+    configuration_tracker::dependencies
+    configuration_dependencies(catalog_parser parse);
     void tick();
     void check_agents();
     void choose_placer();
-    void note_lag(duration lag);
+    void record_timer_lag(duration lag);
     void probe_store();
     void log_load();
     void schedule_dispatch();
@@ -217,52 +227,53 @@
 
     /// Guards delayed work; first, since the others' delays hold it.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-    boost::asio::io_context& io_;       ///< Runs it.
-    const clock_source& clock_;         ///< This entry's.
-    durable_service_settings settings_; ///< Limits.
-    watched_store store_;               ///< Where rows lie.
-    configuration_keeper queues_;       ///< The newest configuration.
-    evacuated_halls evacuated_;         ///< Halls that get no new work.
-    agent_directory directory_;         ///< All agents.
-    session_scope scope_;               ///< Those that need a session.
-    agent_sessions agents_;             ///< Links to these.
-    entry_peers peers_;                 ///< Links to entries.
-    dispatcher dispatcher_;             ///< Places tasks.
-    report_budget reports_;             ///< That this machine can bear.
-    report_budget placer_reports_;      ///< The same while placing for others.
-    placement_server placements_;       ///< Other entries' tasks.
-    placement_groups groups_;           ///< Where ours are placed.
-    std::int64_t started_ = wall_nanoseconds() / 1'000'000'000; ///< In s.
-    duration lag_{};                   ///< Of timers, on average.
-    bool timely_ = true;               ///< They come in time.
+    boost::asio::io_context& io_;                 ///< Runs it.
+    const clock_source& clock_;                   ///< This entry's.
+    durable_service_settings settings_;           ///< Limits.
+    watched_store store_;                         ///< Where rows lie.
+    configuration_tracker configuration_tracker_; ///< The newest configuration.
+    evacuated_halls evacuated_;    ///< Halls that get no new work.
+    agent_directory directory_;    ///< All agents.
+    session_scope scope_;          ///< Those that need a session.
+    agent_sessions agents_;        ///< Links to these.
+    entry_peers peers_;            ///< Links to entries.
+    dispatcher dispatcher_;        ///< Places tasks.
+    report_budget reports_;        ///< That this machine can bear.
+    report_budget placer_reports_; ///< The same while placing for others.
+    placement_server placements_;  ///< Other entries' tasks.
+    placement_groups groups_;      ///< Where ours are placed.
+    std::int64_t start_time_s_ = wall_nanoseconds() / 1'000'000'000; ///< In s.
+    duration timer_lag_{};             ///< Of timers, on average.
+    bool timers_on_time_ = true;       ///< They come in time.
     part_ownership ownership_;         ///< This entry's parts.
     job_coordinator memory_;           ///< Jobs kept in memory alone.
     job_handover handover_;            ///< Of these, to agents' processes.
     job_router router_;                ///< Brings calls to owners.
     memory_cancellation cancellation_; ///< Of jobs in memory.
-    table_follower members_;           ///< Rows of processes.
-    table_follower configuration_;     ///< Rows of the operator.
+    table_follower member_rows_;       ///< Rows of processes.
+    table_follower operator_rows_;     ///< Rows of the operator.
     member_announcer announcer_;       ///< Writes this entry's row.
     /// How long an agent has been silent.
     struct agent_silence
     {
-        instant since{};           ///< Unless it reports.
-        bool memory_ended = false; ///< Its runs in memory are given up.
-        bool parts_ended = false;  ///< All its runs are given up.
+        instant since{};                   ///< Unless it reports.
+        bool memory_runs_expired = false;  ///< Its runs in memory are given up.
+        bool journal_runs_expired = false; ///< All its runs are given up.
     };
 
-    std::map<std::string, agent_silence> agent_silence_; ///< By agent.
-    std::map<std::string, std::string> members_known_;   ///< Address by name.
-    stall_watch stalls_{{}};                             ///< Of this process.
-    instant tick_due_{};          ///< When the next tick should come.
-    instant probed_{};            ///< Last probe of the store.
-    instant load_logged_{};       ///< Last line on the load.
-    bool dispatching_ = false;    ///< A dispatch is on its way.
-    bool placing_ = false;        ///< It places, for others or by itself.
-    bool stopping_ = false;       ///< A planned stop.
-    bool refusing_ = false;       ///< Takes no more jobs in memory.
-    std::uint32_t strongest_ = 0; ///< Thousandths of a core that the most
-                                  ///< powerful entry known by its row may use.
+    std::map<std::string, agent_silence> agent_silence_;  ///< By agent.
+    std::map<std::string, std::string> member_addresses_; ///< Address by name.
+    stall_watch stalls_{{}};                              ///< Of this process.
+    instant tick_due_{};       ///< When the next tick should come.
+    instant last_probe_{};     ///< Last probe of the store.
+    instant last_load_log_{};  ///< Last line on the load.
+    bool dispatching_ = false; ///< A dispatch is on its way.
+    bool placing_ = false;     ///< It places, for others or by itself.
+    bool stopping_ = false;    ///< A planned stop.
+    bool refusing_ = false;    ///< Takes no more jobs in memory.
+    std::uint32_t max_entry_millicores_ =
+        0; ///< Thousandths of a core that the most
+           ///< powerful entry known by its row may use.
     std::set<std::string> entries_; ///< Other entries, by their rows.
 };
 
--- a/src/glenhollow/durable/entry_peers.cpp
+++ b/src/glenhollow/durable/entry_peers.cpp
@@ -35,8 +35,8 @@
     auto free = out.initReleased(static_cast<unsigned>(view.released.size()));
     for (unsigned i = 0; i < free.size(); ++i)
         fill(free[i], view.released[i]);
-    out.setPower(view.power);
-    out.setTimely(view.timely);
+    out.setPower(view.millicores);
+    out.setTimely(view.timers_on_time);
     out.setAgents(view.agents);
     out.setStarted(view.started);
     const auto& halls = view.evacuated.halls();
@@ -62,8 +62,8 @@
             {count.getQueue(), count.getPart(), count.getPending()});
     for (auto part : in.getReleased())
         view.released.push_back(from_wire(part));
-    view.power = in.getPower();
-    view.timely = in.getTimely();
+    view.millicores = in.getPower();
+    view.timers_on_time = in.getTimely();
     view.agents = in.getAgents();
     view.started = in.getStarted();
     std::set<std::string> halls;
@@ -107,7 +107,7 @@
                        { return one.part == part; });
 }
 
-bool entry_view::tells_later(part_epoch claim) const
+bool entry_view::has_later_claim(part_epoch claim) const
 {
     const auto is_later = [claim](const part_epoch& one)
     { return one.part == claim.part && one.epoch > claim.epoch; };
@@ -122,10 +122,10 @@
     std::unique_ptr<rpc_link> link;            ///< The connection.
     kj::Maybe<wire::EntryPeer::Client> remote; ///< While connected.
     bool exchanging = false;                   ///< An exchange is out.
-    bool push_again = false;                   ///< Another is wanted after it.
+    bool exchange_pending = false;             ///< Another is wanted after it.
     bool was_live = false;                     ///< For the log.
-    instant sent{};                            ///< Last exchange sent.
-    instant answered{};                        ///< Last view heard.
+    instant exchange_sent{};                   ///< Last exchange sent.
+    instant view_received_at{};                ///< Last view heard.
     instant asked{};                           ///< When the last exchange left
                                                ///< that it has answered.
     instant down_since{};                      ///< Zero while connected.
@@ -142,7 +142,7 @@
     kj::Promise<void> exchange(ExchangeContext context) override
     {
         const auto view = view_from(context.getParams().getView());
-        peers_.seen(view.name, view);
+        peers_.view_received(view.name, view);
         fill_view(context.getResults().initView(), peers_.handler_.own_view());
         return kj::READY_NOW;
     }
@@ -159,7 +159,7 @@
         }
         call.verb = static_cast<job_verb>(asked.getVerb());
         call.id = asked.getJob();
-        call.onward = asked.getOnward();
+        call.forward_to = asked.getOnward();
         if (call.verb == job_verb::submit)
         {
             auto job = decode_definition(text_of(asked.getBody()));
@@ -249,7 +249,7 @@
         io_, clock_, where, settings_.link,
         [this, name](capnp::Capability::Client server)
         { connected(*peers_.at(name), server.castAs<wire::EntryPeer>()); },
-        [this, name] { down(name); });
+        [this, name] { link_lost(name); });
 }
 
 void entry_peers::connected(peer& to, wire::EntryPeer::Client interface)
@@ -259,7 +259,7 @@
     exchange(to);
 }
 
-void entry_peers::down(const std::string& name)
+void entry_peers::link_lost(const std::string& name)
 {
     const auto known = peers_.find(name);
     if (known == peers_.end())
@@ -277,47 +277,48 @@
     {
         if (to.exchanging)
         {
-            to.push_again = true;
+            to.exchange_pending = true;
             return;
         }
         to.exchanging = true;
-        to.push_again = false;
-        to.sent = clock_.now();
+        to.exchange_pending = false;
+        to.exchange_sent = clock_.now();
         auto request = remote->exchangeRequest();
         fill_view(request.initView(), handler_.own_view());
         to.link->add(request.send().then(
-            [this, name = to.name, sent = to.sent](auto&& answer)
+            [this, name = to.name,
+             exchange_sent = to.exchange_sent](auto&& answer)
             {
                 const auto known = peers_.find(name);
                 if (known == peers_.end())
                     return;
                 auto& from = *known->second;
                 from.exchanging = false;
-                from.asked = sent;
+                from.asked = exchange_sent;
                 from.down_since = {};
-                seen(name, view_from(answer.getView()));
+                view_received(name, view_from(answer.getView()));
                 if (from.view.name != name)
                     return rename(name, from.view.name);
-                if (from.push_again)
+                if (from.exchange_pending)
                     exchange(from);
             },
             [](kj::Exception&&) {}));
     }
 }
 
-void entry_peers::seen(const std::string& name, const entry_view& view)
+void entry_peers::view_received(const std::string& name, const entry_view& view)
 {
     const auto known = peers_.find(name);
     if (known != peers_.end())
     {
         auto& from = *known->second;
-        from.answered = clock_.now();
+        from.view_received_at = clock_.now();
         from.view = view;
         if (!std::exchange(from.was_live, true))
             log_change(log_level::info, "peer_live",
                        {{"entry", name}, {"incarnation", view.incarnation}});
     }
-    handler_.peer_seen(view);
+    handler_.peer_view_received(view);
 }
 
 /// A seed has told its name.
@@ -342,15 +343,15 @@
     if (one.exchanging)
         return false;
     return pacing_.is_due(own_name_ < one.name,
-                          std::max(one.sent, one.answered), peers_.size(),
-                          clock_.now());
+                          std::max(one.exchange_sent, one.view_received_at),
+                          peers_.size(), clock_.now());
 }
 
 bool entry_peers::is_live(const peer& one) const
 {
     const auto now = clock_.now();
-    if (one.answered.count() == 0 ||
-        now - one.answered > pacing_.silence(peers_.size()))
+    if (one.view_received_at.count() == 0 ||
+        now - one.view_received_at > pacing_.silence(peers_.size()))
         return false;
     return one.down_since.count() == 0 ||
            now - one.down_since < settings_.down_grace;
@@ -360,7 +361,7 @@
 /// others.
 void entry_peers::connect_due()
 {
-    auto at = peers_.upper_bound(connected_last_);
+    auto at = peers_.upper_bound(last_connect_name_);
     for (std::size_t i = 0; i < peers_.size(); ++i, ++at)
     {
         if (at == peers_.end())
@@ -371,7 +372,7 @@
         if (!connects_.take(1, clock_.now()))
             return;
         ++attempts_;
-        connected_last_ = at->first;
+        last_connect_name_ = at->first;
         link.tick();
     }
 }
@@ -386,7 +387,7 @@
     {
         const auto now = clock_.now();
         if (one->link->up() && one->exchanging &&
-            now - one->sent > pacing_.silence(peers_.size()))
+            now - one->exchange_sent > pacing_.silence(peers_.size()))
             silent.push_back(one.get());
         else if (is_due(*one))
             exchange(*one);
@@ -400,7 +401,7 @@
         one->link->drop();
 }
 
-void entry_peers::push()
+void entry_peers::exchange_all()
 {
     for (auto& [name, one] : peers_)
         exchange(*one);
@@ -438,25 +439,26 @@
     return &known->second->view;
 }
 
-void entry_peers::ask(duration older)
+void entry_peers::refresh(duration max_age)
 {
     const auto now = clock_.now();
     for (auto& [name, one] : peers_)
     {
-        if (!one->exchanging && now - one->asked >= older)
+        if (!one->exchanging && now - one->asked >= max_age)
             exchange(*one);
     }
 }
 
-instant entry_peers::oldest_word(part_epoch claim, instant heard_since) const
+instant entry_peers::oldest_confirmation(part_epoch claim,
+                                         instant active_since) const
 {
     auto oldest = clock_.now();
     for (const auto& [name, one] : peers_)
     {
         const auto refused_at = one->link->refused_at();
-        if (std::max(one->answered, one->added) < heard_since)
+        if (std::max(one->view_received_at, one->added) < active_since)
             continue;
-        if (!refused_at && one->view.tells_later(claim))
+        if (!refused_at && one->view.has_later_claim(claim))
             return {};
         oldest = std::min(oldest,
                           std::max(one->asked, refused_at.value_or(instant{})));
@@ -464,7 +466,7 @@
     return oldest;
 }
 
-bool entry_peers::refuses(const std::string& name) const
+bool entry_peers::refuses_connections(const std::string& name) const
 {
     const auto known = peers_.find(name);
     return known != peers_.end() && known->second->link->refused();
@@ -482,8 +484,8 @@
         auto out = request.initCall();
         out.setVerb(static_cast<std::uint8_t>(call.verb));
         out.setJob(call.id);
-        if (!call.onward.empty())
-            out.setOnward(call.onward);
+        if (!call.forward_to.empty())
+            out.setOnward(call.forward_to);
         if (call.verb == job_verb::submit)
             out.setBody(bytes_of(encode_definition(call.job)));
         auto shared = std::make_shared<answer_handler>(std::move(done));
@@ -503,13 +505,13 @@
     done(std::nullopt);
 }
 
-std::vector<peer_status> entry_peers::reach() const
+std::vector<peer_status> entry_peers::connection_states() const
 {
     std::vector<peer_status> out;
     out.reserve(peers_.size());
     for (const auto& [name, one] : peers_)
         out.push_back({name, one->remote != nullptr,
-                       std::max(one->answered, one->added)});
+                       std::max(one->view_received_at, one->added)});
     return out;
 }
 
@@ -573,7 +575,7 @@
 }
 
 void entry_peers::fetch_catalog(const std::string& name,
-                                configuration_keeper::copy_handler done)
+                                configuration_tracker::copy_handler done)
 {
     const auto known = peers_.find(name);
     if (known == peers_.end())
--- a/src/glenhollow/durable/entry_peers.hpp
+++ b/src/glenhollow/durable/entry_peers.hpp
@@ -2,7 +2,7 @@
 #define GLENHOLLOW_DURABLE_ENTRY_PEERS_HPP
 
 #include "glenhollow/decision/token_bucket.hpp"
-#include "glenhollow/durable/configuration_keeper.hpp"
+#include "glenhollow/durable/configuration_tracker.hpp"
 #include "glenhollow/durable/evacuated_halls.hpp"
 #include "glenhollow/durable/exchange_pacing.hpp"
 #include "glenhollow/durable/job_coordinator.hpp"
@@ -22,7 +22,7 @@
 {
 
 /// Jobs of one queue and part that have not begun.
-struct queue_count
+struct queue_backlog
 {
     std::string queue;         ///< The queue.
     part_number part = 0;      ///< The part.
@@ -32,19 +32,19 @@
 /// What an entry tells the others of itself.
 struct entry_view
 {
-    std::string name;                  ///< Its name.
-    std::uint64_t incarnation = 0;     ///< Of its process.
-    std::vector<part_epoch> parts;     ///< That it owns.
-    bool store_reachable = true;       ///< The store answers it.
-    bool stopping = false;             ///< It is being stopped.
-    std::uint64_t catalog_version = 0; ///< Newest it has.
-    std::vector<queue_count> pending;  ///< Of its parts.
-    std::vector<part_epoch> released;  ///< Given away, free to take.
-    std::uint32_t power = 0;   ///< Thousandths of a core that it may use.
-    bool timely = false;       ///< Its own timers come in time.
-    std::uint32_t agents = 0;  ///< With which it has a session.
-    std::int64_t started = 0;  ///< By its time of day, in seconds.
-    evacuated_halls evacuated; ///< Halls that get no new work.
+    std::string name;                   ///< Its name.
+    std::uint64_t incarnation = 0;      ///< Of its process.
+    std::vector<part_epoch> parts;      ///< That it owns.
+    bool store_reachable = true;        ///< The store answers it.
+    bool stopping = false;              ///< It is being stopped.
+    std::uint64_t catalog_version = 0;  ///< Newest it has.
+    std::vector<queue_backlog> pending; ///< Of its parts.
+    std::vector<part_epoch> released;   ///< Given away, free to take.
+    std::uint32_t millicores = 0; ///< Thousandths of a core that it may use.
+    bool timers_on_time = false;  ///< Its own timers come in time.
+    std::uint32_t agents = 0;     ///< With which it has a session.
+    std::int64_t started = 0;     ///< By its time of day, in seconds.
+    evacuated_halls evacuated;    ///< Halls that get no new work.
 
     /// @param part A part.
     /// @return Whether this entry owns it.
@@ -52,7 +52,7 @@
 
     /// @param claim Of another entry.
     /// @return Whether this one has claimed the part later.
-    bool tells_later(part_epoch claim) const;
+    bool has_later_claim(part_epoch claim) const;
 };
 
 /// What is asked of a job's owner.
@@ -77,7 +77,7 @@
     job_verb verb = job_verb::state; ///< What is asked.
     job_id id = 0;                   ///< Of which job.
     job_definition job;              ///< When submitted.
-    std::string onward{};            ///< To be passed on to this entry.
+    std::string forward_to{};        ///< To be passed on to this entry.
 };
 
 /// Answers other entries.
@@ -90,7 +90,7 @@
     virtual entry_view own_view() = 0;
 
     /// @param view Another entry's.
-    virtual void peer_seen(const entry_view& view) = 0;
+    virtual void peer_view_received(const entry_view& view) = 0;
 
     /// @param call For a job of a part that this entry should own.
     /// @param done Told the answer.
@@ -158,14 +158,14 @@
     void close();
 
     /// Tells all others at once.
-    void push();
+    void exchange_all();
 
     /// Tells a few others at once a fact that each of them passes on when it
     /// is new there.
     void gossip();
 
     /// @return Attempts to connect so far.
-    std::uint64_t attempts() const { return attempts_; }
+    std::uint64_t connect_attempts() const { return attempts_; }
 
     /// @return Views of the entries that are live, good until the next call
     /// that is not const. Not copied: each tick goes through all of them.
@@ -178,20 +178,20 @@
     /// Exchanges with those whose last word is older, as far as they can be
     /// reached.
     /// @param older Than this.
-    void ask(duration older);
+    void refresh(duration max_age);
 
     /// What other entries say of a claim: each that was heard lately has been
     /// asked and told of no later one, or its machine says that its process has
     /// ended.
     /// @param claim This entry's.
-    /// @param heard_since Those that were silent since then don't count.
+    /// @param active_since Those that were silent since then don't count.
     /// @return When the one was asked whose word is the oldest; zero where one
     /// has told nothing, or of a later claim.
-    instant oldest_word(part_epoch claim, instant heard_since) const;
+    instant oldest_confirmation(part_epoch claim, instant active_since) const;
 
     /// @param name An entry that is not live.
     /// @return Whether its machine refuses connections: its process has ended.
-    bool refuses(const std::string& name) const;
+    bool refuses_connections(const std::string& name) const;
 
     /// @param name The entry to ask.
     /// @param call What.
@@ -200,7 +200,7 @@
               answer_handler done);
 
     /// @return All that are known, live or not.
-    std::vector<peer_status> reach() const;
+    std::vector<peer_status> connection_states() const;
 
     /// @param name The entry to ask.
     /// @param done Told the jobs in memory that it remembers as cancelled.
@@ -232,7 +232,7 @@
     /// @param name The entry to ask.
     /// @param done Told its newest catalog, or nothing.
     void fetch_catalog(const std::string& name,
-                       configuration_keeper::copy_handler done);
+                       configuration_tracker::copy_handler done);
 
 private:
     class peer_server;
@@ -240,9 +240,9 @@
 
     void connect_due();
     void connected(peer& to, wire::EntryPeer::Client interface);
-    void down(const std::string& name);
+    void link_lost(const std::string& name);
     void exchange(peer& to);
-    void seen(const std::string& name, const entry_view& view);
+    void view_received(const std::string& name, const entry_view& view);
     void rename(const std::string& from, const std::string& to);
     bool is_live(const peer& one) const;
     bool is_due(const peer& one) const;
@@ -256,8 +256,8 @@
     std::map<std::string, std::unique_ptr<peer>> peers_; ///< By name.
     std::string own_name_;                               ///< Of this entry.
     token_bucket connects_;                              ///< Attempts left.
-    std::string connected_last_; ///< Name that the last attempt went to.
-    std::uint64_t attempts_ = 0; ///< To connect, so far.
+    std::string last_connect_name_; ///< Name that the last attempt went to.
+    std::uint64_t attempts_ = 0;    ///< To connect, so far.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/lease_timing.cpp
+++ b/src/glenhollow/durable/lease_timing.cpp
@@ -1,7 +1,7 @@
 #include "glenhollow/durable/lease_timing.hpp"
 
 #include "glenhollow/durable/agent_sessions.hpp"
-#include "glenhollow/durable/claim_evidence.hpp"
+#include "glenhollow/durable/claim_validity.hpp"
 #include "glenhollow/durable/job_coordinator.hpp"
 #include "glenhollow/durable/memory_cancellation.hpp"
 #include "glenhollow/runs/run_manager.hpp"
@@ -65,7 +65,7 @@
     out.memory_silence = memory_agent_timeout;
     out.part_silence = job_coordinator_settings{}.agent_timeout;
     out.cancel_lapse = memory_cancellation_settings{}.silence_timeout;
-    out.claim_evidence_age = claim_evidence_settings{}.good_for;
+    out.claim_evidence_age = claim_validity_settings{}.max_age;
     out.callers_wait = callers_wait;
     return out;
 }
--- a/src/glenhollow/durable/member_directory.cpp
+++ b/src/glenhollow/durable/member_directory.cpp
@@ -16,11 +16,11 @@
 
 constexpr duration announce_retry = milliseconds{300};
 constexpr std::size_t memo_field = 2;
-constexpr std::size_t power_field = 3;
+constexpr std::size_t millicores_field = 3;
 
 /// What changes more often is written once: a backend server that ends and
 /// starts again all the time must not cost a write each time.
-constexpr duration memo_gap = seconds{2};
+constexpr duration memo_write_delay = seconds{2};
 
 row_key member_key(const std::string& name)
 {
@@ -30,10 +30,10 @@
 std::string encode_member(const member_row& member)
 {
     json::array fields{to_name(member.role), member.where.to_string()};
-    if (!member.memo.empty() || member.power > 0)
+    if (!member.memo.empty() || member.millicores > 0)
         fields.emplace_back(member.memo);
-    if (member.power > 0)
-        fields.emplace_back(member.power);
+    if (member.millicores > 0)
+        fields.emplace_back(member.millicores);
     return json::serialize(fields);
 }
 
@@ -56,8 +56,9 @@
         member_row member{row.key.key, *role, where, {}, 0};
         if (fields.size() > memo_field) // Rows of before have none.
             member.memo = json::value_to<std::string>(fields[memo_field]);
-        if (fields.size() > power_field)
-            member.power = json::value_to<std::uint32_t>(fields[power_field]);
+        if (fields.size() > millicores_field)
+            member.millicores =
+                json::value_to<std::uint32_t>(fields[millicores_field]);
         return member;
     }
     catch (const std::exception& wrong)
@@ -69,21 +70,21 @@
 
 struct member_announcer::state : std::enable_shared_from_this<state>
 {
-    state(row_store& rows, journal_chain::delay runs_later, member_row row)
-        : store(rows), later(std::move(runs_later)), self(std::move(row))
+    state(row_store& rows, journal_chain::delay delay, member_row row)
+        : store(rows), later(std::move(delay)), self(std::move(row))
     {
     }
 
-    row_store& store;           ///< Where rows lie.
-    journal_chain::delay later; ///< Runs delayed work.
-    member_row self;            ///< This process.
-    memo_handler on_memo;       ///< Told what an earlier process kept.
-    bool busy = false;          ///< A look or a write is under way.
-    bool memo_due = false;      ///< A memo will be written.
-    bool closed = false;        ///< The announcer is gone.
+    row_store& store;                  ///< Where rows lie.
+    journal_chain::delay later;        ///< Runs delayed work.
+    member_row self;                   ///< This process.
+    memo_handler on_memo;              ///< Told what an earlier process kept.
+    bool busy = false;                 ///< A look or a write is under way.
+    bool memo_write_scheduled = false; ///< A memo will be written.
+    bool closed = false;               ///< The announcer is gone.
 
     /// A row that says the same already is left alone.
-    void look()
+    void check_row()
     {
         busy = true;
         const auto key = member_key(self.name);
@@ -93,32 +94,32 @@
                        if (keep->closed)
                            return;
                        if (!got.answered)
-                           return keep->again();
-                       keep->found(got);
+                           return keep->retry_later();
+                       keep->row_checked(got);
                    });
     }
 
-    void found(const read_result& got)
+    void row_checked(const read_result& got)
     {
         const bool there =
             !got.rows.empty() && got.rows.front().key == member_key(self.name);
         if (there)
-            take_memo(got.rows.front());
+            load_memo(got.rows.front());
         if (!there || got.rows.front().value != encode_member(self))
             write();
         else
             busy = false;
     }
 
-    void take_memo(const stored_row& row)
+    void load_memo(const stored_row& row)
     {
-        const auto told = std::exchange(on_memo, {});
+        const auto handler = std::exchange(on_memo, {});
         const auto before = decode_member(row);
-        if (!told || !before || before.value().memo.empty())
+        if (!handler || !before || before.value().memo.empty())
             return;
         if (self.memo.empty())
             self.memo = before.value().memo;
-        told(before.value().memo);
+        handler(before.value().memo);
     }
 
     void write()
@@ -132,7 +133,7 @@
             {
                 const bool current = value == encode_member(keep->self);
                 if (got.outcome != store_outcome::done || !current)
-                    return keep->again();
+                    return keep->retry_later();
                 keep->busy = false;
             });
     }
@@ -143,24 +144,24 @@
         if (memo == self.memo)
             return;
         self.memo = std::move(memo);
-        if (std::exchange(memo_due, true))
+        if (std::exchange(memo_write_scheduled, true))
             return;
-        later(memo_gap,
+        later(memo_write_delay,
               [keep = shared_from_this()]
               {
-                  keep->memo_due = false;
+                  keep->memo_write_scheduled = false;
                   if (!keep->closed && !keep->busy)
-                      keep->look();
+                      keep->check_row();
               });
     }
 
-    void again()
+    void retry_later()
     {
         later(announce_retry,
               [keep = shared_from_this()]
               {
                   if (!keep->closed)
-                      keep->look();
+                      keep->check_row();
               });
     }
 };
@@ -179,7 +180,7 @@
 void member_announcer::begin(memo_handler on_memo)
 {
     state_->on_memo = std::move(on_memo);
-    state_->look();
+    state_->check_row();
 }
 
 void member_announcer::keep(std::string memo)
--- a/src/glenhollow/durable/member_directory.hpp
+++ b/src/glenhollow/durable/member_directory.hpp
@@ -32,8 +32,8 @@
     member_role role = member_role::entry; ///< What it does.
     host_port where;                       ///< Its address for links.
     std::string memo{}; ///< What it keeps for its next process; may be empty.
-    std::uint32_t power = 0; ///< Thousandths of a core that it may use; 0: not
-                             ///< told.
+    std::uint32_t millicores = 0; ///< Thousandths of a core that it may use; 0:
+                                  ///< not told.
 };
 
 /// @param row The member's row.
--- a/src/glenhollow/durable/part_loader.cpp
+++ b/src/glenhollow/durable/part_loader.cpp
@@ -43,8 +43,8 @@
     row_store& store;                                     ///< Where rows lie.
     part_number part;                                     ///< Which part.
     std::function<void(std::optional<loaded_part>)> done; ///< Told the end.
-    loaded_part found;                                    ///< So far.
-    std::size_t open = tables.size();                     ///< Tables to read.
+    loaded_part loaded;                                   ///< So far.
+    std::size_t pending_tables = tables.size();           ///< Tables to read.
     bool failed = false;                                  ///< A read failed.
 
     void read(std::string_view table, const std::string& from)
@@ -61,89 +61,92 @@
     {
         failed = failed || !got.answered;
         for (const auto& row : got.rows)
-            take(table, row);
+            add_row(table, row);
         if (!failed && got.more && !got.rows.empty())
         {
             // The least key past the last one.
             return read(table, got.rows.back().key.key + '0');
         }
-        if (--open > 0)
+        if (--pending_tables > 0)
             return;
         if (failed)
             return done(std::nullopt);
-        set_unreadable_apart();
-        done(std::move(found));
+        drop_unreadable();
+        done(std::move(loaded));
     }
 
-    void take(std::string_view table, const stored_row& row)
+    void add_row(std::string_view table, const stored_row& row)
     {
         if (table == members_table)
-            return take_member(row);
+            return add_member(row);
         const auto id = job_id_from(row.key.key);
         if (!id)
             return; // Nobody can ask for it.
         if (table == jobs_table)
-            keep(table, *id, decode_definition(row.value),
-                 [this, id](job_definition job)
-                 {
-                     if (job.id != *id)
-                         return note(jobs_table, *id, "it names another job");
-                     found.jobs.push_back(std::move(job));
-                 });
+            add_decoded(table, *id, decode_definition(row.value),
+                        [this, id](job_definition job)
+                        {
+                            if (job.id != *id)
+                                return mark_unreadable(jobs_table, *id,
+                                                       "it names another job");
+                            loaded.jobs.push_back(std::move(job));
+                        });
         else if (table == progress_table)
-            keep(table, *id, decode_progress(row.value),
-                 [this, id](job_progress progress)
-                 { found.progress.emplace(*id, std::move(progress)); });
+            add_decoded(table, *id, decode_progress(row.value),
+                        [this, id](job_progress progress)
+                        { loaded.progress.emplace(*id, std::move(progress)); });
         else
-            keep(table, *id, decode_ended_job(row.value),
-                 [this, id](ended_job end)
-                 { found.ended.emplace_back(*id, end); });
+            add_decoded(table, *id, decode_ended_job(row.value),
+                        [this, id](ended_job end)
+                        { loaded.ended.emplace_back(*id, end); });
     }
 
     /// A member whose row can't be read may be an agent.
-    void take_member(const stored_row& row)
+    void add_member(const stored_row& row)
     {
         const auto member = decode_member(row);
         if (!member || member.value().role == member_role::agent)
-            found.agents.insert(row.key.key);
+            loaded.agents.insert(row.key.key);
     }
 
-    template <class Value, class Keep>
-    void keep(std::string_view table, job_id id, result<Value> value, Keep how)
+    template <class Value, class Add>
+    void add_decoded(std::string_view table, job_id id, result<Value> value,
+                     Add add)
     {
         if (value)
-            return how(std::move(value.value()));
-        note(table, id, value.error().text);
+            return add(std::move(value.value()));
+        mark_unreadable(table, id, value.error().text);
     }
 
-    void note(std::string_view table, job_id id, std::string_view cause)
+    void mark_unreadable(std::string_view table, job_id id,
+                         std::string_view cause)
     {
-        found.unreadable.insert(id);
-        log_change(log_level::error, "journal_row_unreadable",
+        loaded.unreadable.insert(id);
+        log_change(log_level::error, "journal_row_invalid",
                    {{"part", part},
                     {"table", table},
                     {"job", to_text(id)},
                     {"cause", cause}});
     }
 
-    void set_unreadable_apart()
+    void drop_unreadable()
     {
-        for (const auto& job : found.jobs)
+        for (const auto& job : loaded.jobs)
         {
-            const auto progress = found.progress.find(job.id);
-            if (progress != found.progress.end() &&
+            const auto progress = loaded.progress.find(job.id);
+            if (progress != loaded.progress.end() &&
                 !fits(progress->second, job))
-                note(progress_table, job.id,
-                     "it counts tasks that are not its");
+                mark_unreadable(progress_table, job.id,
+                                "it counts tasks that are not its");
         }
-        const auto apart = [this](job_id id)
-        { return found.unreadable.contains(id); };
-        std::erase_if(found.jobs,
-                      [&](const auto& job) { return apart(job.id); });
-        std::erase_if(found.progress,
-                      [&](const auto& one) { return apart(one.first); });
-        std::erase_if(found.ended,
-                      [&](const auto& one) { return apart(one.first); });
+        const auto is_unreadable = [this](job_id id)
+        { return loaded.unreadable.contains(id); };
+        std::erase_if(loaded.jobs,
+                      [&](const auto& job) { return is_unreadable(job.id); });
+        std::erase_if(loaded.progress, [&](const auto& one)
+                      { return is_unreadable(one.first); });
+        std::erase_if(loaded.ended, [&](const auto& one)
+                      { return is_unreadable(one.first); });
     }
 };
 
--- a/src/glenhollow/durable/part_ownership.cpp
+++ b/src/glenhollow/durable/part_ownership.cpp
@@ -14,33 +14,34 @@
 namespace
 {
 
-constexpr duration stop_patience = milliseconds{400};
-constexpr std::size_t released_kept = 64;
+constexpr duration flush_timeout = milliseconds{400};
+constexpr std::size_t max_released = 64;
 /// Between two ticks: others take an entry for lost after a second of silence,
 /// so one that stood still for half of that may have lost its parts.
-constexpr duration stood_still = milliseconds{500};
+constexpr duration stall_threshold = milliseconds{500};
 /// From its next tick to the others' views: twice the time between exchanges.
-constexpr duration views_come = milliseconds{500};
+constexpr duration view_refresh_time = milliseconds{500};
 
-std::uint64_t weight(part_number part, const std::string& entry)
+std::uint64_t rendezvous_weight(part_number part, const std::string& entry)
 {
     return XXH3_64bits_withSeed(entry.data(), entry.size(), part + 1);
 }
 
 } // namespace
 
-part_ownership::part_ownership(job_coordinator::dependencies around,
+part_ownership::part_ownership(job_coordinator::dependencies dependencies,
                                entry_peers& peers,
                                part_ownership_listener& listener,
                                const part_ownership_settings& settings)
-    : around_(std::move(around)), peers_(peers), listener_(listener),
-      settings_(settings), ticked_(around_.clock.now()), changed_(ticked_)
+    : dependencies_(std::move(dependencies)), peers_(peers),
+      listener_(listener), settings_(settings),
+      last_tick_(dependencies_.clock.now()), last_owner_change_(last_tick_)
 {
     for (std::size_t i = 0; i < settings_.parts; ++i)
     {
-        auto& at = seats_[static_cast<part_number>(i)];
-        at.free_since = around_.clock.now();
-        at.evidence = claim_evidence(settings_.evidence);
+        auto& at = parts_[static_cast<part_number>(i)];
+        at.unowned_since = dependencies_.clock.now();
+        at.validity = claim_validity(settings_.validity);
     }
 }
 
@@ -51,14 +52,14 @@
 
 job_coordinator* part_ownership::find(part_number part)
 {
-    const auto known = seats_.find(part);
-    return known == seats_.end() ? nullptr : known->second.jobs.get();
+    const auto known = parts_.find(part);
+    return known == parts_.end() ? nullptr : known->second.jobs.get();
 }
 
 std::vector<part_epoch> part_ownership::owned() const
 {
     std::vector<part_epoch> all;
-    for (const auto& [part, at] : seats_)
+    for (const auto& [part, at] : parts_)
     {
         if (at.jobs)
             all.push_back(at.jobs->epoch());
@@ -69,9 +70,9 @@
 std::vector<part_epoch> part_ownership::renewable() const
 {
     std::vector<part_epoch> all;
-    for (const auto& [part, at] : seats_)
+    for (const auto& [part, at] : parts_)
     {
-        if (at.jobs && stands(at.jobs->epoch(), at))
+        if (at.jobs && is_valid(at.jobs->epoch(), at))
             all.push_back(at.jobs->epoch());
     }
     return all;
@@ -80,26 +81,26 @@
 std::size_t part_ownership::open_jobs() const
 {
     std::size_t count = 0;
-    for (const auto& [part, at] : seats_)
+    for (const auto& [part, at] : parts_)
         count += at.jobs ? at.jobs->open_jobs() : 0;
     return count;
 }
 
-bool part_ownership::stands(part_epoch own, const seat& at) const
+bool part_ownership::is_valid(part_epoch own, const part_state& at) const
 {
-    const auto now = around_.clock.now();
+    const auto now = dependencies_.clock.now();
     // Each report of each agent asks: the entries are gone through only where
     // their word counts.
-    if (!at.evidence.store_silent(now))
+    if (!at.validity.store_confirmation_expired(now))
         return true;
-    return at.evidence.stands(
-        now, peers_.oldest_word(own, at.evidence.heard_since()));
+    return at.validity.is_valid(
+        now, peers_.oldest_confirmation(own, at.validity.active_since()));
 }
 
 void part_ownership::for_each(
     const std::function<void(job_coordinator&)>& visit)
 {
-    for (auto& [part, at] : seats_)
+    for (auto& [part, at] : parts_)
     {
         if (at.jobs)
             visit(*at.jobs);
@@ -122,17 +123,18 @@
     const auto views = peers_.live();
     return std::any_of(views.begin(), views.end(),
                        [own](const entry_view* view)
-                       { return view->tells_later(own); });
+                       { return view->has_later_claim(own); });
 }
 
 bool part_ownership::may_be_superseded(part_number part) const
 {
-    const auto now = around_.clock.now();
-    if (now - ticked_ > stood_still || now - woke_ < views_come)
+    const auto now = dependencies_.clock.now();
+    if (now - last_tick_ > stall_threshold ||
+        now - resumed_at_ < view_refresh_time)
         return true;
-    const auto known = seats_.find(part);
-    return known != seats_.end() && known->second.jobs &&
-           !stands(known->second.jobs->epoch(), known->second);
+    const auto known = parts_.find(part);
+    return known != parts_.end() && known->second.jobs &&
+           !is_valid(known->second.jobs->epoch(), known->second);
 }
 
 std::vector<std::string> part_ownership::candidates() const
@@ -150,39 +152,39 @@
 std::size_t part_ownership::rank(part_number part) const
 {
     const auto key = [part](std::size_t owned, const std::string& name) {
-        return std::tuple{owned, weight(part, name), name};
+        return std::tuple{owned, rendezvous_weight(part, name), name};
     };
-    const auto mine = key(owned().size(), settings_.entry);
-    std::size_t before = 0;
+    const auto own_key = key(owned().size(), settings_.entry);
+    std::size_t ahead = 0;
     for (const auto* view : peers_.live())
     {
         if (view->store_reachable && !view->stopping &&
-            key(view->parts.size(), view->name) < mine)
-            ++before;
+            key(view->parts.size(), view->name) < own_key)
+            ++ahead;
     }
-    return before;
+    return ahead;
 }
 
-bool part_ownership::is_due(part_number part, const seat& at) const
+bool part_ownership::is_due(part_number part, const part_state& at) const
 {
-    const auto now = around_.clock.now();
-    return !at.claiming && !at.jobs && at.free_since.count() != 0 &&
+    const auto now = dependencies_.clock.now();
+    return !at.claiming && !at.jobs && at.unowned_since.count() != 0 &&
            now >= at.retry_at &&
-           now - at.free_since >=
-               settings_.rank_step * static_cast<std::int64_t>(rank(part));
+           now - at.unowned_since >=
+               settings_.rank_delay * static_cast<std::int64_t>(rank(part));
 }
 
 void part_ownership::tick(bool reachable)
 {
-    reachable_ = reachable;
-    const auto now = around_.clock.now();
-    if (now - std::exchange(ticked_, now) > stood_still)
-        woke_ = now;
+    store_reachable_ = reachable;
+    const auto now = dependencies_.clock.now();
+    if (now - std::exchange(last_tick_, now) > stall_threshold)
+        resumed_at_ = now;
     bool others_reach = false;
     for (const auto* view : peers_.live())
         others_reach =
             others_reach || (view->store_reachable && !view->stopping);
-    for (auto& [part, at] : seats_)
+    for (auto& [part, at] : parts_)
     {
         if (at.jobs && is_superseded(at.jobs->epoch()))
         {
@@ -191,59 +193,60 @@
         }
         if (at.jobs)
         {
-            seek_evidence(part, at);
+            check_claim(part, at);
             at.jobs->tick();
             const bool flushed = at.jobs->flushed();
-            if (stopping_ && (flushed || now - stopping_since_ > stop_patience))
+            if (stopping_ && (flushed || now - stopping_since_ > flush_timeout))
                 release(part, "stopping");
-            else if (!reachable_ && others_reach)
+            else if (!store_reachable_ && others_reach)
                 release(part, "store_turns_away");
             continue;
         }
         if (has_live_owner(part))
         {
-            at.free_since = {};
-            at.looked = false;
+            at.unowned_since = {};
+            at.head_read = false;
             continue;
         }
-        if (at.free_since.count() == 0)
-            at.free_since = now;
-        if (!stopping_ && reachable_ && is_due(part, at))
-            look(part);
+        if (at.unowned_since.count() == 0)
+            at.unowned_since = now;
+        if (!stopping_ && store_reachable_ && is_due(part, at))
+            read_head(part);
     }
-    balance();
+    rebalance();
 }
 
 /// An owner that writes nothing would never hear that its claim has been
 /// followed by another one. While the store is silent, all entries that could
 /// have written one are asked.
-void part_ownership::seek_evidence(part_number part, seat& at)
+void part_ownership::check_claim(part_number part, part_state& at)
 {
-    const auto now = around_.clock.now();
+    const auto now = dependencies_.clock.now();
     const auto own = at.jobs->epoch();
-    if (at.evidence.store_silent(now))
-        peers_.ask(at.evidence.settings().ask_again);
-    if (std::exchange(at.borne_out, stands(own, at)) && !at.borne_out)
+    if (at.validity.store_confirmation_expired(now))
+        peers_.refresh(at.validity.settings().check_interval);
+    if (std::exchange(at.was_valid, is_valid(own, at)) && !at.was_valid)
     {
-        ++stats_.unborne;
-        log_change(log_level::warning, "claim_not_borne_out",
+        ++stats_.unconfirmed;
+        log_change(log_level::warning, "claim_unconfirmed",
                    {{"part", part}, {"epoch", own.epoch}});
     }
-    if (!at.evidence.ask_store(now))
+    if (!at.validity.begin_store_check(now))
         return;
     const auto head = head_key(part);
-    around_.store.read({head.table, head.part, head.key, {}, 1},
-                       [this, alive = alive_, own, now](const read_result& got)
-                       {
-                           if (*alive)
-                               claim_looked_up(own, now, got);
-                       });
+    dependencies_.store.read(
+        {head.table, head.part, head.key, {}, 1},
+        [this, alive = alive_, own, now](const read_result& got)
+        {
+            if (*alive)
+                claim_checked(own, now, got);
+        });
 }
 
-void part_ownership::claim_looked_up(part_epoch own, instant asked,
-                                     const read_result& got)
+void part_ownership::claim_checked(part_epoch own, instant sent,
+                                   const read_result& got)
 {
-    auto& at = seats_[own.part];
+    auto& at = parts_[own.part];
     const bool found = got.answered && !got.rows.empty() &&
                        got.rows.front().key == head_key(own.part);
     if (!found || !at.jobs || at.jobs->epoch() != own)
@@ -253,11 +256,11 @@
         return;
     if (head.value().incarnation == settings_.incarnation &&
         head.value().epoch == own.epoch)
-        return at.evidence.store_confirmed(asked);
+        return at.validity.store_confirmed(sent);
     if (head.value().epoch <= own.epoch)
         return;
-    ++stats_.outlived;
-    log_change(log_level::warning, "claim_outlived",
+    ++stats_.superseded;
+    log_change(log_level::warning, "claim_superseded",
                {{"part", own.part},
                 {"epoch", own.epoch},
                 {"owner", head.value().owner},
@@ -268,49 +271,50 @@
 
 /// Reads the head first: one that moves between two looks has a living owner
 /// that this entry merely cannot see.
-void part_ownership::look(part_number part)
+void part_ownership::read_head(part_number part)
 {
-    auto& at = seats_[part];
+    auto& at = parts_[part];
     at.claiming = true;
     const auto head = head_key(part);
-    around_.store.read({head.table, head.part, head.key, {}, 1},
-                       [this, alive = alive_, part](const read_result& got)
-                       {
-                           if (*alive)
-                               looked(part, got);
-                       });
+    dependencies_.store.read(
+        {head.table, head.part, head.key, {}, 1},
+        [this, alive = alive_, part](const read_result& got)
+        {
+            if (*alive)
+                head_read(part, got);
+        });
 }
 
-void part_ownership::looked(part_number part, const read_result& got)
+void part_ownership::head_read(part_number part, const read_result& got)
 {
-    auto& at = seats_[part];
-    const auto now = around_.clock.now();
+    auto& at = parts_[part];
+    const auto now = dependencies_.clock.now();
     if (!got.answered || stopping_ || has_live_owner(part))
-        return fail(part);
+        return schedule_retry(part);
     chain_head head;
     if (!got.rows.empty() && got.rows.front().key == head_key(part))
     {
         const auto found = decode_head(got.rows.front());
         if (!found)
         {
-            log_change(log_level::error, "head_unreadable",
+            log_change(log_level::error, "part_head_invalid",
                        {{"part", part}, {"cause", found.error().text}});
-            return fail(part);
+            return schedule_retry(part);
         }
         head = found.value();
     }
-    const bool surely_free = is_free(part, head);
-    const bool settled = at.looked && at.seen.version == head.version &&
-                         now - at.free_since >= settings_.settle;
-    if (surely_free || settled)
+    const bool confirmed_free = is_free(part, head);
+    const bool settled = at.head_read && at.last_head.version == head.version &&
+                         now - at.unowned_since >= settings_.settle_time;
+    if (confirmed_free || settled)
         return claim(part, head);
-    if (at.looked && at.seen.version != head.version)
-        log_change(log_level::info, "owner_writes_unseen",
+    if (at.head_read && at.last_head.version != head.version)
+        log_change(log_level::info, "unreachable_owner_active",
                    {{"part", part}, {"owner", head.owner}});
-    at.seen = head;
-    at.looked = true;
+    at.last_head = head;
+    at.head_read = true;
     at.claiming = false;
-    at.retry_at = now + settings_.settle;
+    at.retry_at = now + settings_.settle_time;
 }
 
 /// Nobody has it, its owner has ended, or has said that it gave it away.
@@ -320,7 +324,7 @@
         return true;
     const auto* owner = peers_.find(head.owner);
     if (owner == nullptr)
-        return peers_.refuses(head.owner);
+        return peers_.refuses_connections(head.owner);
     const part_epoch given{part, head.epoch};
     return owner->incarnation != head.incarnation ||
            std::find(owner->released.begin(), owner->released.end(), given) !=
@@ -329,7 +333,7 @@
 
 void part_ownership::claim(part_number part, const chain_head& head)
 {
-    seats_[part].claim_sent = around_.clock.now();
+    parts_[part].claim_sent = dependencies_.clock.now();
     chain_head wanted;
     wanted.owner = settings_.entry;
     wanted.incarnation = settings_.incarnation;
@@ -337,7 +341,7 @@
     row_transaction change;
     change.expected.push_back({head_key(part), head.version});
     change.puts.push_back({head_key(part), encode_head(wanted)});
-    around_.store.commit(
+    dependencies_.store.commit(
         change,
         [this, alive = alive_, part, wanted](const commit_result& got)
         {
@@ -355,7 +359,7 @@
             ++stats_.conflicts;
         log_change(log_level::info, "claim_failed",
                    {{"part", part}, {"outcome", to_name(got.outcome)}});
-        return fail(part);
+        return schedule_retry(part);
     }
     ++stats_.claims;
     auto head = wanted;
@@ -366,7 +370,7 @@
 void part_ownership::load(part_number part, const chain_head& head)
 {
     load_part(
-        around_.store, part,
+        dependencies_.store, part,
         [this, alive = alive_, part, head](std::optional<loaded_part> rows)
         {
             if (*alive)
@@ -377,22 +381,22 @@
 void part_ownership::loaded(part_number part, const chain_head& head,
                             std::optional<loaded_part> rows)
 {
-    auto& at = seats_[part];
+    auto& at = parts_[part];
     if (!rows)
-        return fail(part);
+        return schedule_retry(part);
     at.claiming = false;
-    at.free_since = {};
-    at.looked = false;
-    changed_ = around_.clock.now();
+    at.unowned_since = {};
+    at.head_read = false;
+    last_owner_change_ = dependencies_.clock.now();
     log_change(log_level::info, "part_owned",
                {{"part", part},
                 {"epoch", head.epoch},
                 {"version", head.version},
                 {"open_jobs", rows->jobs.size()},
                 {"ended_jobs", rows->ended.size()}});
-    at.evidence = claim_evidence(settings_.evidence);
-    at.evidence.store_confirmed(at.claim_sent);
-    at.borne_out = true;
+    at.validity = claim_validity(settings_.validity);
+    at.validity.store_confirmed(at.claim_sent);
+    at.was_valid = true;
     auto awaited = listener_.possible_agents();
     awaited.merge(rows->agents);
     if (rows->jobs.empty())
@@ -400,69 +404,69 @@
     auto limits = settings_.jobs;
     limits.parts = settings_.parts;
     at.jobs = std::make_unique<job_coordinator>(
-        around_, part, head, std::move(*rows), std::move(awaited), limits,
+        dependencies_, part, head, std::move(*rows), std::move(awaited), limits,
         [this, alive = alive_, part]
         {
             // The chain that tells of its
             // loss is part of what ends.
-            around_.later(duration{0},
-                          [this, alive, part]
-                          {
-                              if (*alive)
-                                  lose(part);
-                          });
+            dependencies_.later(duration{0},
+                                [this, alive, part]
+                                {
+                                    if (*alive)
+                                        lose(part);
+                                });
         });
-    listener_.part_gained(at.jobs->epoch());
+    listener_.ownership_acquired(at.jobs->epoch());
 }
 
-void part_ownership::fail(part_number part)
+void part_ownership::schedule_retry(part_number part)
 {
-    auto& at = seats_[part];
+    auto& at = parts_[part];
     at.claiming = false;
-    at.retry_at = around_.clock.now() + settings_.claim_retry;
+    at.retry_at = dependencies_.clock.now() + settings_.claim_retry_delay;
 }
 
 void part_ownership::lose(part_number part)
 {
-    auto& at = seats_[part];
+    auto& at = parts_[part];
     if (!at.jobs)
         return;
     ++stats_.lost;
     log_change(log_level::warning, "part_lost",
                {{"part", part}, {"epoch", at.jobs->epoch().epoch}});
     at.jobs.reset();
-    at.free_since = around_.clock.now();
-    at.retry_at = at.free_since + settings_.claim_retry;
-    changed_ = at.free_since;
-    listener_.part_given_up(part);
+    at.unowned_since = dependencies_.clock.now();
+    at.retry_at = at.unowned_since + settings_.claim_retry_delay;
+    last_owner_change_ = at.unowned_since;
+    listener_.ownership_ended(part);
 }
 
 void part_ownership::release(part_number part, std::string_view why)
 {
-    auto& at = seats_[part];
+    auto& at = parts_[part];
     ++stats_.released;
     log_change(
         log_level::info, "part_released",
         {{"part", part}, {"epoch", at.jobs->epoch().epoch}, {"reason", why}});
     released_.push_back(at.jobs->epoch());
-    if (released_.size() > released_kept)
+    if (released_.size() > max_released)
         released_.erase(released_.begin());
     at.jobs->abandon();
     at.jobs.reset();
-    const auto now = around_.clock.now();
-    at.free_since = now;
+    const auto now = dependencies_.clock.now();
+    at.unowned_since = now;
     // The others first.
-    at.retry_at = now + settings_.settle * 2;
-    changed_ = now;
-    listener_.part_given_up(part);
+    at.retry_at = now + settings_.settle_time * 2;
+    last_owner_change_ = now;
+    listener_.ownership_ended(part);
 }
 
-void part_ownership::balance()
+void part_ownership::rebalance()
 {
-    const auto now = around_.clock.now();
+    const auto now = dependencies_.clock.now();
     const auto names = candidates();
     if (stopping_ || names.size() < 2 ||
-        now - changed_ < settings_.balance_after)
+        now - last_owner_change_ < settings_.rebalance_delay)
         return;
     std::size_t least = settings_.parts;
     for (const auto* view : peers_.live())
@@ -472,7 +476,7 @@
     }
     if (owned().size() < least + 2)
         return;
-    for (auto& [part, at] : seats_)
+    for (auto& [part, at] : parts_)
     {
         if (at.jobs && at.jobs->flushed())
             return release(part, "balance");
@@ -482,7 +486,7 @@
 void part_ownership::stop()
 {
     stopping_ = true;
-    stopping_since_ = around_.clock.now();
+    stopping_since_ = dependencies_.clock.now();
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/table_follower.cpp
+++ b/src/glenhollow/durable/table_follower.cpp
@@ -11,13 +11,13 @@
 
 struct table_follower::state : std::enable_shared_from_this<state>
 {
-    state(row_store& rows, journal_chain::delay runs_later, std::string name,
+    state(row_store& rows, journal_chain::delay delay, std::string name,
           const table_follower_settings& limits,
-          std::function<void(const stored_row&)> told,
-          std::function<void(std::uint64_t)> told_current)
-        : store(rows), later(std::move(runs_later)), table(std::move(name)),
-          settings(limits), on_row(std::move(told)),
-          on_current(std::move(told_current))
+          std::function<void(const stored_row&)> row_handler,
+          std::function<void(std::uint64_t)> current_handler)
+        : store(rows), later(std::move(delay)), table(std::move(name)),
+          settings(limits), on_row(std::move(row_handler)),
+          on_current(std::move(current_handler))
     {
     }
 
@@ -27,13 +27,13 @@
     table_follower_settings settings;              ///< Limits.
     std::function<void(const stored_row&)> on_row; ///< Told of rows.
     std::function<void(std::uint64_t)> on_current; ///< Told of versions.
-    std::set<std::string> known;                   ///< Keys of rows told.
-    std::set<std::string> seen; ///< Keys in this reading of the table.
-    bool closed = false;        ///< The follower is gone.
+    std::set<std::string> known_keys;              ///< Keys of rows told.
+    std::set<std::string> seen_keys; ///< Keys in this reading of the table.
+    bool closed = false;             ///< The follower is gone.
 
-    void read_anew()
+    void reload()
     {
-        seen.clear();
+        seen_keys.clear();
         read({}, 0);
     }
 
@@ -49,41 +49,42 @@
         if (closed)
             return;
         if (!got.answered)
-            return after(settings.retry, [](state& self) { self.read_anew(); });
+            return after(settings.retry, [](state& self) { self.reload(); });
         for (const auto& row : got.rows)
         {
-            seen.insert(row.key.key);
-            tell(row);
+            seen_keys.insert(row.key.key);
+            notify(row);
         }
         // Changes since the first page are not missed.
         const auto version = since == 0 ? got.version : since;
         if (got.more && !got.rows.empty())
             return read(got.rows.back().key.key + '0', version);
-        tell_missing(version);
-        tell_current(version);
+        notify_removed(version);
+        notify_current(version);
         follow(version);
     }
 
-    void tell(const stored_row& row)
+    void notify(const stored_row& row)
     {
         if (row.gone)
-            known.erase(row.key.key);
+            known_keys.erase(row.key.key);
         else
-            known.insert(row.key.key);
+            known_keys.insert(row.key.key);
         on_row(row);
     }
 
     /// Rows that were removed while nobody followed.
-    void tell_missing(std::uint64_t version)
+    void notify_removed(std::uint64_t version)
     {
         std::vector<std::string> missing;
-        std::set_difference(known.begin(), known.end(), seen.begin(),
-                            seen.end(), std::back_inserter(missing));
+        std::set_difference(known_keys.begin(), known_keys.end(),
+                            seen_keys.begin(), seen_keys.end(),
+                            std::back_inserter(missing));
         for (const auto& key : missing)
-            tell({{table, {}, key}, {}, version, true});
+            notify({{table, {}, key}, {}, version, true});
     }
 
-    void tell_current(std::uint64_t version)
+    void notify_current(std::uint64_t version)
     {
         if (on_current)
             on_current(version);
@@ -105,18 +106,18 @@
         {
         case feed_outcome::answered:
             for (const auto& row : got.rows)
-                tell(row);
+                notify(row);
             version = std::max(version, got.version);
-            tell_current(version);
-            return after(settings.least_gap,
+            notify_current(version);
+            return after(settings.min_gap,
                          [version](state& self) { self.follow(version); });
         case feed_outcome::history_gone:
-            log_change(log_level::info, "history_gone", {{"table", table}});
-            return after(settings.least_gap,
-                         [](state& self) { self.read_anew(); });
+            log_change(log_level::info, "feed_history_expired",
+                       {{"table", table}});
+            return after(settings.min_gap, [](state& self) { self.reload(); });
         case feed_outcome::failed:
             // Rows may have changed and been forgotten meanwhile.
-            return after(settings.retry, [](state& self) { self.read_anew(); });
+            return after(settings.retry, [](state& self) { self.reload(); });
         }
     }
 
@@ -147,14 +148,14 @@
     state_->closed = true;
 }
 
-void table_follower::pace(duration gap)
+void table_follower::set_min_gap(duration gap)
 {
-    state_->settings.least_gap = gap;
+    state_->settings.min_gap = gap;
 }
 
 void table_follower::begin()
 {
-    state_->read_anew();
+    state_->reload();
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/table_follower.hpp
+++ b/src/glenhollow/durable/table_follower.hpp
@@ -15,9 +15,9 @@
 /// Limits of a follower.
 struct table_follower_settings
 {
-    duration wait = seconds{20};           ///< Of one long wait.
-    duration retry = milliseconds{250};    ///< After a failure.
-    duration least_gap = milliseconds{20}; ///< Between two waits.
+    duration wait = seconds{20};         ///< Of one long wait.
+    duration retry = milliseconds{250};  ///< After a failure.
+    duration min_gap = milliseconds{20}; ///< Between two waits.
 };
 
 /// Reads a small table and follows its changes. Where the store forgot the
@@ -43,7 +43,7 @@
     void begin();
 
     /// @param gap The least time between two waits from now on.
-    void pace(duration gap);
+    void set_min_gap(duration gap);
 
 private:
     struct state;
--- a/tests/schedule/simulated_entry.cpp
+++ b/tests/schedule/simulated_entry.cpp
@@ -11,7 +11,7 @@
 
 /// As in durable_service.cpp.
 constexpr duration tick_interval = milliseconds{50};
-constexpr duration store_patience = milliseconds{500};
+constexpr duration store_timeout = milliseconds{500};
 /// As in agent_sessions.cpp.
 constexpr duration longest_gap = seconds{5};
 
@@ -52,7 +52,7 @@
     silences_.clear();
     dispatching_ = false;
     watched_ =
-        std::make_unique<watched_store>(node_.clock(), store_, store_patience);
+        std::make_unique<watched_store>(node_.clock(), store_, store_timeout);
     dispatcher_settings limits;
     limits.seed = time_.random();
     order_sender& sender = *this;
@@ -217,7 +217,7 @@
 std::vector<part_epoch> simulated_entry::renewed_parts() const
 {
     std::vector<part_epoch> all;
-    if (seat_->stands())
+    if (seat_->is_valid())
         all.push_back(seat_->jobs()->epoch());
     all.push_back(memory_->epoch());
     return all;
--- a/tests/schedule/simulated_seat.cpp
+++ b/tests/schedule/simulated_seat.cpp
@@ -135,7 +135,7 @@
     }
     if (jobs_)
     {
-        seek_evidence();
+        check_claim();
         jobs_->tick();
         if (!reachable && others_reach())
             release();
@@ -149,18 +149,19 @@
     }
     if (free_since_.count() == 0)
         free_since_ = now;
-    const auto turn = settings_.rank_step * static_cast<std::int64_t>(entry_);
+    const auto turn = settings_.rank_delay * static_cast<std::int64_t>(entry_);
     if (reachable && !claiming_ && now >= retry_at_ &&
         now - free_since_ >= turn)
-        look();
+        read_head();
 }
 
-bool simulated_seat::stands() const
+bool simulated_seat::is_valid() const
 {
-    return jobs_ && evidence_.stands(around_.jobs.clock.now(), oldest_word());
+    return jobs_ &&
+           evidence_.is_valid(around_.jobs.clock.now(), oldest_confirmation());
 }
 
-instant simulated_seat::oldest_word() const
+instant simulated_seat::oldest_confirmation() const
 {
     const auto now = around_.jobs.clock.now();
     auto oldest = now;
@@ -178,10 +179,10 @@
     return oldest;
 }
 
-void simulated_seat::seek_evidence()
+void simulated_seat::check_claim()
 {
     const auto now = around_.jobs.clock.now();
-    if (!evidence_.ask_store(now))
+    if (!evidence_.begin_store_check(now))
         return;
     const auto head = head_key(0);
     around_.jobs.store.read(
@@ -203,7 +204,7 @@
         });
 }
 
-void simulated_seat::look()
+void simulated_seat::read_head()
 {
     claiming_ = true;
     const auto head = head_key(0);
@@ -211,7 +212,7 @@
                             [this, alive = alive_](const read_result& got)
                             {
                                 if (*alive)
-                                    looked(got);
+                                    head_read(got);
                             });
 }
 
@@ -228,7 +229,7 @@
     return false;
 }
 
-void simulated_seat::looked(const read_result& got)
+void simulated_seat::head_read(const read_result& got)
 {
     if (!got.answered || has_live_owner())
         return fail();
@@ -237,13 +238,13 @@
         head = decode_head(got.rows.front()).value();
     const auto now = around_.jobs.clock.now();
     const bool settled = looked_ && seen_.version == head.version &&
-                         now - free_since_ >= settings_.settle;
+                         now - free_since_ >= settings_.settle_time;
     if (is_free(head) || settled)
         return claim(head);
     seen_ = head;
     looked_ = true;
     claiming_ = false;
-    retry_at_ = now + settings_.settle;
+    retry_at_ = now + settings_.settle_time;
 }
 
 void simulated_seat::claim(const chain_head& head)
@@ -289,7 +290,7 @@
             return entry_name(entry_) + " owns the part, epoch " +
                    std::to_string(head.epoch);
         });
-    evidence_ = claim_evidence();
+    evidence_ = claim_validity();
     evidence_.store_confirmed(claim_sent_);
     auto awaited = around_.agents();
     if (rows.jobs.empty())
@@ -312,7 +313,7 @@
 void simulated_seat::fail()
 {
     claiming_ = false;
-    retry_at_ = around_.jobs.clock.now() + settings_.claim_retry;
+    retry_at_ = around_.jobs.clock.now() + settings_.claim_retry_delay;
 }
 
 void simulated_seat::lose()
@@ -322,7 +323,7 @@
     time_.note([&] { return entry_name(entry_) + " has lost the part"; });
     jobs_.reset();
     free_since_ = around_.jobs.clock.now();
-    retry_at_ = free_since_ + settings_.claim_retry;
+    retry_at_ = free_since_ + settings_.claim_retry_delay;
     around_.given_up();
 }
 
@@ -333,7 +334,7 @@
     jobs_->abandon();
     jobs_.reset();
     free_since_ = around_.jobs.clock.now();
-    retry_at_ = free_since_ + settings_.settle * 2;
+    retry_at_ = free_since_ + settings_.settle_time * 2;
     around_.given_up();
 }
 
--- a/tests/schedule/simulated_seat.hpp
+++ b/tests/schedule/simulated_seat.hpp
@@ -64,9 +64,9 @@
 /// | look, looked  | the same                                         |
 /// | claim, loaded | the same                                         |
 /// | lose, release | the same                                         |
-/// | seek_evidence | the same, and ::claim_looked_up                  |
-/// | oldest_word   | entry_peers::oldest_word                         |
-/// | hear, is_live | entry_peers: views, live by exchange_pacing      |
+/// | check_claim | the same, and ::claim_checked                  |
+/// | oldest_confirmation   | entry_peers::oldest_confirmation | | hear, is_live
+/// | entry_peers: views, live by exchange_pacing      |
 class simulated_seat final
 {
 public:
@@ -104,7 +104,7 @@
     job_coordinator* jobs() { return jobs_.get(); }
 
     /// @return Whether the leases of its claim may be renewed now.
-    bool stands() const;
+    bool is_valid() const;
 
 private:
     bool is_live(const seat_view& view) const;
@@ -112,10 +112,10 @@
     bool is_superseded() const;
     bool others_reach() const;
     bool is_free(const chain_head& head) const;
-    void seek_evidence();
-    instant oldest_word() const;
-    void look();
-    void looked(const read_result& got);
+    void check_claim();
+    instant oldest_confirmation() const;
+    void read_head();
+    void head_read(const read_result& got);
     void claim(const chain_head& head);
     void loaded(const chain_head& head, loaded_part rows);
     void fail();
@@ -129,7 +129,7 @@
     part_ownership_settings settings_;       ///< Limits.
     std::map<std::size_t, seat_view> views_; ///< Of the others.
     std::unique_ptr<job_coordinator> jobs_;  ///< While it owns the part.
-    claim_evidence evidence_;                ///< For its claim.
+    claim_validity evidence_;                ///< For its claim.
     instant claim_sent_{};                   ///< When that left.
     bool claiming_ = false;                  ///< A call is out.
     bool looked_ = false;                    ///< The head was seen before.
--- a/tests/unit/adapter/catalog_checks_tests.cpp
+++ b/tests/unit/adapter/catalog_checks_tests.cpp
@@ -2,7 +2,7 @@
 // taken for 0 and a large one was cut to 32 bits: a queue whose priority was
 // written as a text went before all others, and one with 4,294,967,297 attempts
 // had a single one.
-#include "glenhollow/durable/configuration_keeper.hpp"
+#include "glenhollow/durable/configuration_tracker.hpp"
 #include "platform/catalog_format.hpp"
 
 #include <catch2/catch.hpp>
@@ -127,16 +127,16 @@
 {
     manual_clock clock;
     std::deque<std::function<void()>> later;
-    configuration_keeper keeper{
+    configuration_tracker keeper{
         {clock, platform::begin_catalog,
          [&later](std::function<void()> work)
          { later.push_back(std::move(work)); },
-         [](const std::string&, const configuration_keeper::copy_handler&) {},
+         [](const std::string&, const configuration_tracker::copy_handler&) {},
          [] {}},
         {}};
     const auto offer = [&](const std::string& document)
     {
-        keeper.from_store(document);
+        keeper.offer_from_store(document);
         while (!later.empty())
         {
             const auto work = std::move(later.front());
--- a/tests/unit/adapter/configuration_burst_tests.cpp
+++ b/tests/unit/adapter/configuration_burst_tests.cpp
@@ -1,4 +1,4 @@
-#include "glenhollow/durable/configuration_keeper.hpp"
+#include "glenhollow/durable/configuration_tracker.hpp"
 #include "platform/catalog_format.hpp"
 #include "platform/client_front.hpp"
 
@@ -75,11 +75,11 @@
     manual_clock clock;
     std::deque<std::function<void()>> later;
     std::string queue;
-    configuration_keeper keeper{
+    configuration_tracker keeper{
         {clock, platform::begin_catalog,
          [this](std::function<void()> work)
          { later.push_back(std::move(work)); },
-         [](const std::string&, const configuration_keeper::copy_handler&) {},
+         [](const std::string&, const configuration_tracker::copy_handler&) {},
          [] {}},
         {}};
     platform::client_front front{*this};
@@ -90,7 +90,7 @@
 TEST_CASE("1,400 routes more during a burst: requests go on between slices")
 {
     entry_world world;
-    world.keeper.from_store(document_of(4, 45));
+    world.keeper.offer_from_store(document_of(4, 45));
     while (!world.later.empty())
         world.round();
     std::minstd_rand random(7);
@@ -99,7 +99,7 @@
     // It comes three times at once, as the store and two peers bring it.
     const auto document = document_of(7, 1445);
     for (int i = 0; i < 3; ++i)
-        world.keeper.from_store(document);
+        world.keeper.offer_from_store(document);
     std::size_t rounds = 0;
     std::uint64_t before = 4;
     while (!world.later.empty())
@@ -118,10 +118,10 @@
     }
     CHECK(world.keeper.catalog().version == 7);
     CHECK(rounds >= 16);
-    CHECK(world.keeper.stats().taken == 2);
+    CHECK(world.keeper.stats().applied == 2);
     CHECK(world.keeper.stats().repeated == 2);
     // An older one that arrives late takes nothing back.
-    world.keeper.from_store(document_of(6, 45));
+    world.keeper.offer_from_store(document_of(6, 45));
     while (!world.later.empty())
         world.round();
     CHECK(world.ask(1444) == 200);
--- a/tests/unit/durable/claim_evidence_tests.cpp
+++ b/tests/unit/durable/claim_validity_tests.cpp
@@ -1,7 +1,7 @@
 // An owner that was cut off from the store and from all other entries went on
 // renewing the leases of its part, while another entry had taken it: see the
 // scenario of cut halls in tests/schedule.
-#include "glenhollow/durable/claim_evidence.hpp"
+#include "glenhollow/durable/claim_validity.hpp"
 #include "glenhollow/durable/job_router.hpp"
 #include "glenhollow/durable/part_ownership.hpp"
 #include "unit/durable/coordinator_fixture.hpp"
@@ -19,16 +19,16 @@
 {
     named_entry() : idle_entry("entry-1") {}
 
-    void part_gained(part_epoch) override {}
-    void part_given_up(part_number part) override { lost = part; }
+    void ownership_acquired(part_epoch) override {}
+    void ownership_ended(part_number part) override { lost = part; }
     std::set<std::string> possible_agents() const override { return {}; }
 
     std::optional<part_number> lost;
 };
 
-struct owner_world : coordinator_fixture
+struct owner_fixture : coordinator_fixture
 {
-    owner_world()
+    owner_fixture()
     {
         part_ownership_settings limits;
         limits.entry = "entry-1";
@@ -64,40 +64,41 @@
 TEST_CASE("a word counts from the moment at which it was asked for",
           "[claim_evidence]")
 {
-    claim_evidence evidence;
-    evidence.store_confirmed(seconds{100});
-    const auto good_for = evidence.settings().good_for;
-    CHECK(evidence.stands(seconds{100} + good_for, {}));
-    CHECK_FALSE(evidence.stands(seconds{100} + good_for + milliseconds{1}, {}));
+    claim_validity validity;
+    validity.store_confirmed(seconds{100});
+    const auto max_age = validity.settings().max_age;
+    CHECK(validity.is_valid(seconds{100} + max_age, {}));
+    CHECK_FALSE(
+        validity.is_valid(seconds{100} + max_age + milliseconds{1}, {}));
     // An answer to an earlier question makes it no older.
-    evidence.store_confirmed(seconds{99});
-    CHECK(evidence.stands(seconds{100} + good_for, {}));
-    CHECK(evidence.stands(seconds{105}, seconds{104}));
-    CHECK_FALSE(evidence.stands(seconds{105}, seconds{103}));
+    validity.store_confirmed(seconds{99});
+    CHECK(validity.is_valid(seconds{100} + max_age, {}));
+    CHECK(validity.is_valid(seconds{105}, seconds{104}));
+    CHECK_FALSE(validity.is_valid(seconds{105}, seconds{103}));
 }
 
 TEST_CASE("the store is asked before its last word is too old",
           "[claim_evidence]")
 {
-    claim_evidence evidence;
-    evidence.store_confirmed(seconds{100});
-    const auto& limits = evidence.settings();
-    CHECK_FALSE(evidence.ask_store(seconds{100}));
-    CHECK(limits.ask_after < limits.good_for);
-    const auto due = seconds{100} + limits.ask_after;
-    CHECK(evidence.ask_store(due));
-    CHECK_FALSE(evidence.ask_store(due + milliseconds{50}));
-    CHECK(evidence.ask_store(due + limits.ask_again));
+    claim_validity validity;
+    validity.store_confirmed(seconds{100});
+    const auto& limits = validity.settings();
+    CHECK_FALSE(validity.begin_store_check(seconds{100}));
+    CHECK(limits.check_after < limits.max_age);
+    const auto due = seconds{100} + limits.check_after;
+    CHECK(validity.begin_store_check(due));
+    CHECK_FALSE(validity.begin_store_check(due + milliseconds{50}));
+    CHECK(validity.begin_store_check(due + limits.check_interval));
 }
 
 TEST_CASE("an owner that writes nothing renews while the store bears it out",
           "[claim_evidence]")
 {
-    owner_world world;
+    owner_fixture fixture;
     for (int i = 0; i < 100; ++i)
     {
-        world.run(milliseconds{50});
-        REQUIRE(world.renews());
+        fixture.run(milliseconds{50});
+        REQUIRE(fixture.renews());
     }
 }
 
@@ -105,20 +106,20 @@
           "taken the part, renews nothing",
           "[claim_evidence]")
 {
-    owner_world world;
-    world.peers.add("entry-2", {"127.0.0.1", 1});
-    world.run(milliseconds{200});
-    CHECK(world.renews());
-    world.store.down = true;
-    world.run(milliseconds{700});
+    owner_fixture fixture;
+    fixture.peers.add("entry-2", {"127.0.0.1", 1});
+    fixture.run(milliseconds{200});
+    CHECK(fixture.renews());
+    fixture.store.down = true;
+    fixture.run(milliseconds{700});
     // The longest that a word is old when the store falls silent.
-    world.run(milliseconds{1000});
-    CHECK_FALSE(world.renews());
-    CHECK(world.ownership->stats().unborne == 1);
-    CHECK(world.ownership->find(0) != nullptr);
-    world.store.down = false;
-    world.run(milliseconds{400});
-    CHECK(world.renews());
+    fixture.run(milliseconds{1000});
+    CHECK_FALSE(fixture.renews());
+    CHECK(fixture.ownership->stats().unconfirmed == 1);
+    CHECK(fixture.ownership->find(0) != nullptr);
+    fixture.store.down = false;
+    fixture.run(milliseconds{400});
+    CHECK(fixture.renews());
 }
 
 // Callers were told 410 for jobs that they had handed in three seconds before
@@ -129,73 +130,73 @@
 TEST_CASE("an owner that nobody bears out does not deny a job",
           "[claim_evidence]")
 {
-    owner_world world;
-    world.peers.add("entry-2", {"127.0.0.1", 1});
-    job_router router(world.loop.clock, world.loop.delay(), *world.ownership,
-                      world.peers, {.parts = 1});
+    owner_fixture fixture;
+    fixture.peers.add("entry-2", {"127.0.0.1", 1});
+    job_router router(fixture.loop.clock, fixture.loop.delay(),
+                      *fixture.ownership, fixture.peers, {.parts = 1});
     const auto ask = [&]
     {
         std::optional<job_outcome> told;
         router.serve_locally({job_verb::state, 99, {}},
                              [&](const job_reply& got) { told = got.outcome; });
-        world.run(milliseconds{100});
+        fixture.run(milliseconds{100});
         return told;
     };
     CHECK(ask() == job_outcome::missing);
-    world.store.down = true;
-    world.run(milliseconds{1700});
+    fixture.store.down = true;
+    fixture.run(milliseconds{1700});
     CHECK(ask() == job_outcome::not_owner);
-    world.store.down = false;
-    world.run(milliseconds{400});
+    fixture.store.down = false;
+    fixture.run(milliseconds{400});
     CHECK(ask() == job_outcome::missing);
 }
 
 TEST_CASE("while the store is silent, an owner without others goes on",
           "[claim_evidence]")
 {
-    owner_world world;
-    world.store.down = true;
-    world.run(seconds{5});
-    CHECK(world.renews());
+    owner_fixture fixture;
+    fixture.store.down = true;
+    fixture.run(seconds{5});
+    CHECK(fixture.renews());
 }
 
 TEST_CASE("an entry that had been silent for long is not waited for",
           "[claim_evidence]")
 {
-    owner_world world;
-    world.peers.add("entry-2", {"127.0.0.1", 1});
-    world.run(seconds{62});
-    world.store.down = true;
-    world.run(seconds{3});
-    CHECK(world.renews());
+    owner_fixture fixture;
+    fixture.peers.add("entry-2", {"127.0.0.1", 1});
+    fixture.run(seconds{62});
+    fixture.store.down = true;
+    fixture.run(seconds{3});
+    CHECK(fixture.renews());
 }
 
 TEST_CASE("an owner whose claim was followed by another one learns it of the "
           "store",
           "[claim_evidence]")
 {
-    owner_world world;
+    owner_fixture fixture;
     chain_head taken;
     taken.owner = "entry-2";
     taken.incarnation = 8;
-    taken.epoch = world.ownership->find(0)->epoch().epoch + 1;
-    world.store.put(head_key(0), encode_head(taken));
-    world.run(seconds{1});
-    CHECK(world.entry.lost == part_number{0});
-    CHECK_FALSE(world.renews());
-    CHECK(world.ownership->stats().outlived == 1);
+    taken.epoch = fixture.ownership->find(0)->epoch().epoch + 1;
+    fixture.store.put(head_key(0), encode_head(taken));
+    fixture.run(seconds{1});
+    CHECK(fixture.entry.lost == part_number{0});
+    CHECK_FALSE(fixture.renews());
+    CHECK(fixture.ownership->stats().superseded == 1);
 }
 
 TEST_CASE("a machine that is suspended has no fresh word when it wakes",
           "[claim_evidence]")
 {
-    owner_world world;
-    world.peers.add("entry-2", {"127.0.0.1", 1});
-    world.run(milliseconds{200});
-    REQUIRE(world.renews());
-    world.loop.clock.suspend(seconds{2});
+    owner_fixture fixture;
+    fixture.peers.add("entry-2", {"127.0.0.1", 1});
+    fixture.run(milliseconds{200});
+    REQUIRE(fixture.renews());
+    fixture.loop.clock.suspend(seconds{2});
     // What agents have sent meanwhile is read before any timer fires.
-    CHECK_FALSE(world.renews());
-    world.run(milliseconds{200});
-    CHECK(world.renews());
+    CHECK_FALSE(fixture.renews());
+    fixture.run(milliseconds{200});
+    CHECK(fixture.renews());
 }
--- a/tests/unit/durable/evacuation_tests.cpp
+++ b/tests/unit/durable/evacuation_tests.cpp
@@ -57,7 +57,7 @@
     explicit exchanging_entry(std::string name) { view.name = std::move(name); }
 
     entry_view own_view() override { return view; }
-    void peer_seen(const entry_view& other) override
+    void peer_view_received(const entry_view& other) override
     {
         view.evacuated.take(other.evacuated);
         ++exchanges;
--- a/tests/unit/durable/member_directory_tests.cpp
+++ b/tests/unit/durable/member_directory_tests.cpp
@@ -10,7 +10,7 @@
 {
 
 /// An agent's row in a store, and processes that write it.
-struct directory_world
+struct member_fixture
 {
     void begin()
     {
@@ -46,47 +46,47 @@
 
 TEST_CASE("the next process of a member is told the memo of the last one")
 {
-    directory_world world;
-    world.begin();
-    CHECK(world.memos.empty());
-    CHECK(world.row().memo.empty());
-    world.announcer->keep("life-1");
-    world.loop.advance(seconds{3});
-    CHECK(world.row().memo == "life-1");
-    const auto writes = world.store.transactions.size();
-    world.begin();
-    CHECK(world.memos == std::vector<std::string>{"life-1"});
-    CHECK(world.row().memo == "life-1");
-    CHECK(world.row().where.port == 7000);
+    member_fixture fixture;
+    fixture.begin();
+    CHECK(fixture.memos.empty());
+    CHECK(fixture.row().memo.empty());
+    fixture.announcer->keep("life-1");
+    fixture.loop.advance(seconds{3});
+    CHECK(fixture.row().memo == "life-1");
+    const auto writes = fixture.store.transactions.size();
+    fixture.begin();
+    CHECK(fixture.memos == std::vector<std::string>{"life-1"});
+    CHECK(fixture.row().memo == "life-1");
+    CHECK(fixture.row().where.port == 7000);
     // What is there already is not written again.
-    world.announcer->keep("life-1");
-    world.loop.advance(seconds{3});
-    CHECK(world.store.transactions.size() == writes);
+    fixture.announcer->keep("life-1");
+    fixture.loop.advance(seconds{3});
+    CHECK(fixture.store.transactions.size() == writes);
 }
 
 TEST_CASE("memos that change all the time are written rarely")
 {
-    directory_world world;
-    world.begin();
-    const auto writes = world.store.transactions.size();
+    member_fixture fixture;
+    fixture.begin();
+    const auto writes = fixture.store.transactions.size();
     for (int i = 0; i < 40; ++i)
     {
-        world.announcer->keep("life-" + std::to_string(i));
-        world.loop.advance(milliseconds{100});
+        fixture.announcer->keep("life-" + std::to_string(i));
+        fixture.loop.advance(milliseconds{100});
     }
-    world.loop.advance(seconds{3});
-    CHECK(world.row().memo == "life-39");
-    CHECK(world.store.transactions.size() - writes <= 3);
+    fixture.loop.advance(seconds{3});
+    CHECK(fixture.row().memo == "life-39");
+    CHECK(fixture.store.transactions.size() - writes <= 3);
 }
 
 TEST_CASE("a memo is written though the store is down at first")
 {
-    directory_world world;
-    world.begin();
-    world.store.down = true;
-    world.announcer->keep("life-1");
-    world.loop.advance(seconds{5});
-    world.store.down = false;
-    world.loop.advance(seconds{1});
-    CHECK(world.row().memo == "life-1");
+    member_fixture fixture;
+    fixture.begin();
+    fixture.store.down = true;
+    fixture.announcer->keep("life-1");
+    fixture.loop.advance(seconds{5});
+    fixture.store.down = false;
+    fixture.loop.advance(seconds{1});
+    CHECK(fixture.row().memo == "life-1");
 }
--- a/tests/unit/durable/part_ownership_tests.cpp
+++ b/tests/unit/durable/part_ownership_tests.cpp
@@ -23,21 +23,21 @@
 {
 
 /// An entry that has not heard of any member.
-struct begun_entry : idle_entry, part_ownership_listener
+struct restarted_entry : idle_entry, part_ownership_listener
 {
-    begun_entry() : idle_entry("") {}
+    restarted_entry() : idle_entry("") {}
 
-    void part_gained(part_epoch part) override { gained = part; }
-    void part_given_up(part_number) override {}
+    void ownership_acquired(part_epoch part) override { gained = part; }
+    void ownership_ended(part_number) override {}
     std::set<std::string> possible_agents() const override { return {}; }
 
     part_epoch gained;
 };
 
 /// Its part, and the agents that work for whoever owns it.
-struct taken_part_world : coordinator_fixture
+struct takeover_fixture : coordinator_fixture
 {
-    taken_part_world()
+    takeover_fixture()
     {
         owner(1);
         submit(job(7));
@@ -75,7 +75,7 @@
     }
 
     boost::asio::io_context io;
-    begun_entry entry;
+    restarted_entry entry;
     entry_peers peers{io, loop.clock, entry, {}};
     std::unique_ptr<part_ownership> ownership;
 };
@@ -85,34 +85,34 @@
 TEST_CASE("an entry that has read no members waits for all agents of a part",
           "[unread_members]")
 {
-    taken_part_world world;
+    takeover_fixture fixture;
     for (const auto* name : {"agent-1", "agent-2"})
-        world.store.put({std::string(members_table), {}, name},
-                        R"(["agent","127.0.0.1:7600"])");
-    world.run(seconds{2});
-    REQUIRE(world.ownership->find(0) != nullptr);
-    CHECK(world.started.empty());
+        fixture.store.put({std::string(members_table), {}, name},
+                          R"(["agent","127.0.0.1:7600"])");
+    fixture.run(seconds{2});
+    REQUIRE(fixture.ownership->find(0) != nullptr);
+    CHECK(fixture.started.empty());
     // One has an end that nobody has journalled.
     lease_account account;
     account.ends.push_back(
         {{{7, 0, 0, 0}, 1}, run_outcome::done, 1, 1000, true});
-    world.ownership->find(0)->reconcile_agent("agent-1", account);
-    world.ownership->find(0)->reconcile_agent("agent-2", {});
-    world.run(milliseconds{100});
-    REQUIRE(world.started.size() == 1);
-    CHECK(world.started.front().second.task == task_ref{7, 0, 0, 1});
+    fixture.ownership->find(0)->reconcile_agent("agent-1", account);
+    fixture.ownership->find(0)->reconcile_agent("agent-2", {});
+    fixture.run(milliseconds{100});
+    REQUIRE(fixture.started.size() == 1);
+    CHECK(fixture.started.front().second.task == task_ref{7, 0, 0, 1});
 }
 
 TEST_CASE("a part of which nothing is open waits for nobody",
           "[unread_members]")
 {
-    taken_part_world world;
-    world.store.put({std::string(members_table), {}, "agent-1"},
-                    R"(["agent","127.0.0.1:7600"])");
-    world.run(seconds{2});
-    auto* jobs = world.ownership->find(0);
+    takeover_fixture fixture;
+    fixture.store.put({std::string(members_table), {}, "agent-1"},
+                      R"(["agent","127.0.0.1:7600"])");
+    fixture.run(seconds{2});
+    auto* jobs = fixture.ownership->find(0);
     REQUIRE(jobs != nullptr);
-    world.ownership->find(0)->reconcile_agent("agent-1", {});
-    world.run(milliseconds{100});
-    CHECK(world.started.size() == 2);
+    fixture.ownership->find(0)->reconcile_agent("agent-1", {});
+    fixture.run(milliseconds{100});
+    CHECK(fixture.started.size() == 2);
 }
--- a/tests/unit/durable/table_follower_tests.cpp
+++ b/tests/unit/durable/table_follower_tests.cpp
@@ -11,9 +11,9 @@
 {
 
 /// A follower of one table, with what it was told.
-struct follower_world
+struct follower_fixture
 {
-    follower_world()
+    follower_fixture()
     {
         follower = std::make_unique<table_follower>(
             store, loop.delay(), "op", table_follower_settings{},
@@ -52,47 +52,48 @@
 
 TEST_CASE("rows are told, then the version up to which all were told")
 {
-    follower_world world;
-    world.put("a", "1");
-    const auto newest = world.put("b", "2");
-    world.store.page = 1; // Each row on a page of its own.
-    world.follower->begin();
-    world.loop.advance(milliseconds{5});
-    CHECK(world.current == 0); // More pages are to come.
-    world.loop.advance(milliseconds{50});
-    CHECK(world.rows == row_map{{"a", "1"}, {"b", "2"}});
-    CHECK(world.current == newest);
+    follower_fixture fixture;
+    fixture.put("a", "1");
+    const auto newest = fixture.put("b", "2");
+    fixture.store.page = 1; // Each row on a page of its own.
+    fixture.follower->begin();
+    fixture.loop.advance(milliseconds{5});
+    CHECK(fixture.current == 0); // More pages are to come.
+    fixture.loop.advance(milliseconds{50});
+    CHECK(fixture.rows == row_map{{"a", "1"}, {"b", "2"}});
+    CHECK(fixture.current == newest);
 }
 
 TEST_CASE("a row that was removed in history that is gone is told as gone")
 {
     // An evacuation that ended while the store forgot its history would have
     // kept a hall without work for good.
-    follower_world world;
-    world.put("evacuate/hall-1", "{}");
-    world.put("config", "1");
-    world.follower->begin();
-    world.loop.advance(milliseconds{20});
-    REQUIRE(world.rows.size() == 2);
-    world.remove("evacuate/hall-1");
-    world.store.oldest = world.put("config", "2"); // All before it is gone.
-    world.loop.advance(seconds{45});               // Two long waits.
-    CHECK(world.rows == row_map{{"config", "2"}});
-    CHECK(world.current == world.store.oldest);
+    follower_fixture fixture;
+    fixture.put("evacuate/hall-1", "{}");
+    fixture.put("config", "1");
+    fixture.follower->begin();
+    fixture.loop.advance(milliseconds{20});
+    REQUIRE(fixture.rows.size() == 2);
+    fixture.remove("evacuate/hall-1");
+    fixture.store.oldest_version =
+        fixture.put("config", "2");    // All before it is gone.
+    fixture.loop.advance(seconds{45}); // Two long waits.
+    CHECK(fixture.rows == row_map{{"config", "2"}});
+    CHECK(fixture.current == fixture.store.oldest_version);
 }
 
 TEST_CASE("after the store was away the table is read anew")
 {
-    follower_world world;
-    world.put("a", "1");
-    world.follower->begin();
-    world.loop.advance(milliseconds{20});
-    world.store.down = true;
-    world.loop.advance(seconds{25});
-    world.remove("a");
-    world.put("b", "2");
-    world.store.down = false;
-    world.remove("a");
-    world.loop.advance(seconds{1});
-    CHECK(world.rows == row_map{{"b", "2"}});
+    follower_fixture fixture;
+    fixture.put("a", "1");
+    fixture.follower->begin();
+    fixture.loop.advance(milliseconds{20});
+    fixture.store.down = true;
+    fixture.loop.advance(seconds{25});
+    fixture.remove("a");
+    fixture.put("b", "2");
+    fixture.store.down = false;
+    fixture.remove("a");
+    fixture.loop.advance(seconds{1});
+    CHECK(fixture.rows == row_map{{"b", "2"}});
 }
--- a/tests/unit/durable/unseen_runs_tests.cpp
+++ b/tests/unit/durable/unseen_runs_tests.cpp
@@ -28,7 +28,7 @@
 {
 
 /// An entry that keeps the first account it is told.
-struct asking_entry : agent_session_listener
+struct recording_entry : agent_session_listener
 {
     void agent_attached(const std::string&, const runner_report&) override
     {
@@ -77,7 +77,7 @@
     return out;
 }
 
-agent_sessions_settings of_entry()
+agent_sessions_settings entry_settings()
 {
     agent_sessions_settings out;
     out.entry = "entry";
@@ -87,9 +87,9 @@
 
 /// A new process of an agent beside a server that still runs two tasks, and an
 /// entry that attaches.
-struct begun_agent_world
+struct restarted_agent_fixture
 {
-    begun_agent_world()
+    restarted_agent_fixture()
     {
         server.running = {kept, in_memory};
         server.held_until = server.now_ms() + 1000;
@@ -136,8 +136,9 @@
     std::unique_ptr<run_agent_service> agent =
         std::make_unique<run_agent_service>(loop.io(), process_clock(), manager,
                                             1, report_pacing_settings{});
-    asking_entry entry;
-    agent_sessions sessions{loop.io(), process_clock(), entry, of_entry()};
+    recording_entry entry;
+    agent_sessions sessions{loop.io(), process_clock(), entry,
+                            entry_settings()};
     result<std::unique_ptr<rpc_listener>> listener =
         rpc_listener::create(loop.io(), "127.0.0.1", 0);
 };
@@ -150,47 +151,47 @@
 TEST_CASE("an agent tells what runs only once its server has shown it",
           "[unseen_runs]")
 {
-    begun_agent_world world;
-    world.server.silent = true;
+    restarted_agent_fixture fixture;
+    fixture.server.silent = true;
     int steps = 0;
-    world.play(
+    fixture.play(
         [&]
         {
-            if (world.entry.attached && ++steps == enough_steps)
-                world.server.silent = false;
+            if (fixture.entry.attached && ++steps == enough_steps)
+                fixture.server.silent = false;
             if (steps > enough_steps)
-                world.time.advance(milliseconds{10});
-            return !world.told() && steps < 20 * enough_steps;
+                fixture.time.advance(milliseconds{10});
+            return !fixture.told() && steps < 20 * enough_steps;
         });
-    REQUIRE(world.told());
-    const auto& parts = world.entry.accounts.at(0).runs;
+    REQUIRE(fixture.told());
+    const auto& parts = fixture.entry.accounts.at(0).runs;
     REQUIRE(parts.size() == 1);
-    CHECK(parts.front().run == world.kept);
-    const auto& memory = world.entry.accounts.at(memory_part).runs;
+    CHECK(parts.front().run == fixture.kept);
+    const auto& memory = fixture.entry.accounts.at(memory_part).runs;
     REQUIRE(memory.size() == 1);
-    CHECK(memory.front().run == world.in_memory);
+    CHECK(memory.front().run == fixture.in_memory);
 }
 
 TEST_CASE("an agent beside a silent server tells that nothing runs once all "
           "has lapsed",
           "[unseen_runs]")
 {
-    begun_agent_world world;
-    world.server.silent = true;
+    restarted_agent_fixture fixture;
+    fixture.server.silent = true;
     int steps = 0;
     instant told_at{};
-    const auto begun_at = world.time.clock.now();
-    world.play(
+    const auto begun_at = fixture.time.clock.now();
+    fixture.play(
         [&]
         {
-            if (world.entry.attached && ++steps > enough_steps)
-                world.time.advance(milliseconds{10});
-            told_at = world.time.clock.now();
-            return !world.told() && steps < 20 * enough_steps;
+            if (fixture.entry.attached && ++steps > enough_steps)
+                fixture.time.advance(milliseconds{10});
+            told_at = fixture.time.clock.now();
+            return !fixture.told() && steps < 20 * enough_steps;
         });
-    REQUIRE(world.told());
+    REQUIRE(fixture.told());
     CHECK(told_at - begun_at > longest_hold);
-    CHECK(world.entry.accounts.at(0).runs.empty());
+    CHECK(fixture.entry.accounts.at(0).runs.empty());
 }
 
 // The process of an entry before the present one may be heard last: its call to
@@ -200,33 +201,35 @@
 TEST_CASE("an entry whose session another one has replaced is told nothing",
           "[unseen_runs]")
 {
-    begun_agent_world world;
-    asking_entry ended;
-    auto of_ended = of_entry();
-    of_ended.incarnation = 2;
-    agent_sessions late(world.loop.io(), process_clock(), ended, of_ended);
+    restarted_agent_fixture fixture;
+    recording_entry stale_entry;
+    auto stale_settings = entry_settings();
+    stale_settings.incarnation = 2;
+    agent_sessions stale_sessions(fixture.loop.io(), process_clock(),
+                                  stale_entry, stale_settings);
     bool replaced = false;
     int steps = 0;
-    constexpr int most_steps = 2500; // Some 5 s; its silence ends after 1.2.
-    world.play(
+    constexpr int max_steps = 2500; // Some 5 s; its silence ends after 1.2.
+    fixture.play(
         [&]
         {
-            world.time.advance(milliseconds{1});
-            if (world.told() && !replaced && !ended.attached)
-                late.add("agent", {"127.0.0.1", world.links().port()});
-            if (ended.attached && !std::exchange(replaced, true))
+            fixture.time.advance(milliseconds{1});
+            if (fixture.told() && !replaced && !stale_entry.attached)
+                stale_sessions.add("agent",
+                                   {"127.0.0.1", fixture.links().port()});
+            if (stale_entry.attached && !std::exchange(replaced, true))
             {
-                world.entry.accounts.clear();
-                world.sessions.adopt({0, 2});
+                fixture.entry.accounts.clear();
+                fixture.sessions.adopt({0, 2});
             }
-            const bool over = replaced && world.entry.accounts.contains(0);
-            if (over || ++steps == most_steps)
-                late.close();
-            return !over && steps < most_steps;
+            const bool over = replaced && fixture.entry.accounts.contains(0);
+            if (over || ++steps == max_steps)
+                stale_sessions.close();
+            return !over && steps < max_steps;
         });
     REQUIRE(replaced);
-    REQUIRE(world.entry.accounts.contains(0));
-    const auto& runs = world.entry.accounts.at(0).runs;
+    REQUIRE(fixture.entry.accounts.contains(0));
+    const auto& runs = fixture.entry.accounts.at(0).runs;
     REQUIRE(runs.size() == 1);
-    CHECK(runs.front().run == world.kept);
+    CHECK(runs.front().run == fixture.kept);
 }
--- a/tests/unit/durable/foreign_peers_tests.cpp
+++ b/tests/unit/durable/wire_compatibility_tests.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-constexpr std::uint8_t not_named = 99;
+constexpr std::uint8_t unknown_value = 99;
 constexpr auto far_past = std::numeric_limits<std::int64_t>::min();
 constexpr auto far_future = std::numeric_limits<std::int64_t>::max();
 
@@ -37,7 +37,7 @@
     capnp::MallocMessageBuilder message;
     auto out = message.initRoot<wire::RunEnd>();
     fill(out, run_end{{{1, 0, 0, 0}, 5}, run_outcome::done, 3, 10, true});
-    out.setHow(not_named);
+    out.setHow(unknown_value);
     CHECK(from_wire(out.asReader()).outcome == run_outcome::lapsed);
 }
 
@@ -47,10 +47,10 @@
     auto out = message.initRoot<wire::JobAnswer>();
     fill(out, {job_outcome::done, job_state::succeeded, {}});
     CHECK(from_wire(out.asReader()).outcome == job_outcome::done);
-    out.setState(not_named);
+    out.setState(unknown_value);
     CHECK(from_wire(out.asReader()).outcome == job_outcome::unknown);
     out.setState(0);
-    out.setOutcome(not_named);
+    out.setOutcome(unknown_value);
     CHECK(from_wire(out.asReader()).outcome == job_outcome::unknown);
 }
 
@@ -115,34 +115,34 @@
          {task_ref{1, 0, 0, 2}, task_ref{1, 0, 2, 0}, task_ref{1, 1, 1, 0},
           task_ref{1, 0, 2, 0xFFFF'FFFF}})
     {
-        coordinator_fixture world;
-        world.owner(1);
-        world.submit(chain_of_two());
-        REQUIRE(world.started.size() == 2);
-        world.end("agent-1", {none, 1}, run_outcome::done);
-        CHECK(world.confirmed.size() == 1);
-        world.end_all(run_outcome::done);
-        REQUIRE(world.started.size() == 1);
-        CHECK(world.started[0].second.task == task_ref{1, 0, 1, 0});
-        CHECK(world.store.find({"jobs", part_name(0), to_text(1)}));
-        world.end_all(run_outcome::done);
-        CHECK_FALSE(world.store.find({"jobs", part_name(0), to_text(1)}));
+        coordinator_fixture fixture;
+        fixture.owner(1);
+        fixture.submit(chain_of_two());
+        REQUIRE(fixture.started.size() == 2);
+        fixture.end("agent-1", {none, 1}, run_outcome::done);
+        CHECK(fixture.confirmed.size() == 1);
+        fixture.end_all(run_outcome::done);
+        REQUIRE(fixture.started.size() == 1);
+        CHECK(fixture.started[0].second.task == task_ref{1, 0, 1, 0});
+        CHECK(fixture.store.find({"jobs", part_name(0), to_text(1)}));
+        fixture.end_all(run_outcome::done);
+        CHECK_FALSE(fixture.store.find({"jobs", part_name(0), to_text(1)}));
     }
 }
 
 TEST_CASE("a grant for a task that its job has not is not used")
 {
-    coordinator_fixture world;
-    world.drain_all(); // Its tasks wait.
-    world.owner(1);
-    world.submit(coordinator_fixture::job(1, 2));
+    coordinator_fixture fixture;
+    fixture.drain_all(); // Its tasks wait.
+    fixture.owner(1);
+    fixture.submit(coordinator_fixture::job(1, 2));
     for (const task_ref& none :
          {task_ref{1, 0, 0, 2}, task_ref{1, 0, 9, 0},
           task_ref{1, 0, 0, 0xFFFF'FFFF}, task_ref{2, 0, 0, 0}})
     {
         ready_task granted;
         granted.task = none;
-        CHECK_FALSE(world.coordinator->assign(granted, "agent-1"));
+        CHECK_FALSE(fixture.coordinator->assign(granted, "agent-1"));
     }
 }
 
--- a/tests/unit/journal/journal_chain_tests.cpp
+++ b/tests/unit/journal/journal_chain_tests.cpp
@@ -105,10 +105,10 @@
 TEST_CASE("a transaction done late, after a newer one, does nothing")
 {
     chain_world world;
-    world.store.late = true;
+    world.store.hold_commits = true;
     world.write("a");
     world.loop.advance(milliseconds{10});
-    world.store.late = false;
+    world.store.hold_commits = false;
     world.loop.advance(milliseconds{300});
     REQUIRE(world.verdicts.at("a") == journal_verdict::durable);
     journal_entry entry;
@@ -155,10 +155,10 @@
 TEST_CASE("a batch whose fate is unknown is sent again unchanged")
 {
     chain_world world;
-    world.store.late = true;
+    world.store.hold_commits = true;
     world.write("job", true);
     world.loop.advance(milliseconds{10});
-    world.store.late = false;
+    world.store.hold_commits = false;
     world.store.down = true;
     world.loop.advance(milliseconds{100});
     // It may be done yet, so it must not be called not written.
--- a/tests/unit/overlay/feed_pacing_tests.cpp
+++ b/tests/unit/overlay/feed_pacing_tests.cpp
@@ -78,7 +78,7 @@
             store, loop.delay(), "members", table_follower_settings{},
             [&rows, i](const stored_row& row)
             { rows[i].insert(row.key.key); }));
-        followers.back()->pace(feed_interval({}, readers));
+        followers.back()->set_min_gap(feed_interval({}, readers));
         followers.back()->begin();
     }
     loop.advance(seconds{1});
--- a/tests/unit/overlay/peer_connect_tests.cpp
+++ b/tests/unit/overlay/peer_connect_tests.cpp
@@ -53,7 +53,7 @@
     {
         isolated_entry entry(unreachable);
         entry.run_for(length);
-        CHECK(static_cast<double>(entry.peers.attempts()) <=
+        CHECK(static_cast<double>(entry.peers.connect_attempts()) <=
               budget.burst + budget.per_s * 10);
     }
 }
@@ -64,5 +64,5 @@
     isolated_entry entry(unreachable);
     entry.run_for(seconds{5});
     for (std::size_t i = 0; i < unreachable; ++i)
-        CHECK(entry.peers.refuses("peer-" + std::to_string(i)));
+        CHECK(entry.peers.refuses_connections("peer-" + std::to_string(i)));
 }
--- a/tests/unit/support/fake_row_store.hpp
+++ b/tests/unit/support/fake_row_store.hpp
@@ -24,8 +24,9 @@
         commit_result end;
         if (down)
             end.outcome = store_outcome::refused;
-        else if (late)
-            held.push_back(change), end.outcome = store_outcome::unknown;
+        else if (hold_commits)
+            held_commits.push_back(change),
+                end.outcome = store_outcome::unknown;
         else
             end = apply(change);
         if (lose_answers > 0 && end.outcome == store_outcome::done)
@@ -66,9 +67,9 @@
                 feed_handler done) override
     {
         feed_result end;
-        end.outcome = down             ? feed_outcome::failed
-                      : after < oldest ? feed_outcome::history_gone
-                                       : feed_outcome::answered;
+        end.outcome = down                     ? feed_outcome::failed
+                      : after < oldest_version ? feed_outcome::history_gone
+                                               : feed_outcome::answered;
         end.version = version_;
         for (const auto& [name, row] : rows_)
         {
@@ -83,9 +84,9 @@
     std::vector<commit_result> release_held()
     {
         std::vector<commit_result> ends;
-        for (const auto& change : held)
+        for (const auto& change : held_commits)
             ends.push_back(apply(change));
-        held.clear();
+        held_commits.clear();
         return ends;
     }
 
@@ -106,14 +107,14 @@
         return version_;
     }
 
-    bool down = false;        ///< Turns calls away.
-    bool late = false;        ///< Holds commits back, unanswered.
-    int lose_answers = 0;     ///< So many done commits go unanswered.
-    std::uint64_t oldest = 0; ///< History before it is gone.
-    std::size_t page = 500;   ///< Rows of one read.
+    bool down = false;                ///< Turns calls away.
+    bool hold_commits = false;        ///< Holds commits back, unanswered.
+    int lose_answers = 0;             ///< So many done commits go unanswered.
+    std::uint64_t oldest_version = 0; ///< History before it is gone.
+    std::size_t page = 500;           ///< Rows of one read.
     duration answer_time = milliseconds{5};    ///< Of each call.
     std::vector<row_transaction> transactions; ///< All that came.
-    std::vector<row_transaction> held;         ///< Held back.
+    std::vector<row_transaction> held_commits; ///< Held back.
 
 private:
     using row_name = std::tuple<std::string, std::string, std::string>;
--- a/tests/unit/support/idle_entry.hpp
+++ b/tests/unit/support/idle_entry.hpp
@@ -20,7 +20,7 @@
         view.name = name_;
         return view;
     }
-    void peer_seen(const entry_view&) override {}
+    void peer_view_received(const entry_view&) override {}
     void serve(const job_call&, job_reply_handler done) override { done({}); }
     std::string catalog_document() override { return {}; }
     wire::PlacementSession::Client
