--- a/src/glenhollow/durable/claim_validity.hpp
+++ b/src/glenhollow/durable/claim_validity.hpp
@@ -8,45 +8,47 @@
 namespace glenhollow
 {
 
-/// Limits of the evidence for a claim.
+/// Time limits for the confirmations of a claim.
 struct claim_validity_settings
 {
-    duration max_age = milliseconds{1000}; ///< A word counts so long from the
-                                           ///< moment at which it was asked
-                                           ///< for.
-    duration check_after = milliseconds{800}; ///< The store is asked again when
-                                              ///< its last word is older;
-                                              ///< leases outlast the gap.
-    duration check_interval = milliseconds{300}; ///< Between two questions.
-    duration peer_retention = seconds{60}; ///< An entry that had been silent so
-                                           ///< long at the store's last word is
-                                           ///< not waited for.
+    /// A confirmation is valid for this time after its request was sent.
+    duration max_age = milliseconds{1000};
+    /// The store is asked again once its last confirmation is this old. The
+    /// remaining time up to max_age covers the round trip.
+    duration check_after = milliseconds{800};
+    /// Minimum time between two requests to the store.
+    duration check_interval = milliseconds{300};
+    /// An entry that had been silent for this long at the store's last
+    /// confirmation need not confirm the claim.
+    duration peer_retention = seconds{60};
 };
 
-/// When an owner last knew that its claim of a part stood. Another entry may
-/// take the part at any moment, and nothing tells an owner that is cut off from
-/// the store and from that entry. So leases are renewed only on a word that is
-/// younger than the time by which a new owner outwaits them: of the store, or,
-/// while it is silent, of all entries that could have taken the part. A word is
-/// as old as the question for it, however long the answer took. One thread.
+/// Tracks when an owner's claim of a part was last confirmed. Another entry may
+/// take the part at any moment, and an owner that is cut off from the store and
+/// from that entry is not notified. Leases are therefore renewed only while a
+/// confirmation is younger than the time that a new owner waits before it
+/// starts tasks. The store confirms the claim; while the store is silent, all
+/// entries that could have taken the part must confirm it. The age of a
+/// confirmation counts from the time its request was sent. Not thread-safe.
 class claim_validity final
 {
 public:
-    /// @param settings Limits.
+    /// Creates a tracker without any confirmation.
     explicit claim_validity(const claim_validity_settings& settings = {})
         : settings_(settings)
     {
     }
 
-    /// @param asked When the store was asked whether the claim stands, or to
-    /// write it; it does.
+    /// Records that the store has confirmed or written the claim.
+    /// @param sent Time at which the request to the store was sent.
     void store_confirmed(instant sent)
     {
         store_confirmed_at_ = std::max(store_confirmed_at_, sent);
     }
 
-    /// @param now The time.
-    /// @return Whether the store is to be asked; if so, it counts as asked.
+    /// Checks whether a request to the store is due, and if so, records it as
+    /// sent.
+    /// @return Whether the caller must ask the store now.
     bool begin_store_check(instant now)
     {
         if (now - store_confirmed_at_ < settings_.check_after ||
@@ -56,37 +58,35 @@
         return true;
     }
 
-    /// @param now The time.
-    /// @return Whether the store's word is too old to count.
+    /// @return Whether the store's last confirmation is older than max_age.
     bool store_confirmation_expired(instant now) const
     {
         return now - store_confirmed_at_ > settings_.max_age;
     }
 
-    /// @param now The time.
-    /// @param entries When the entries that could have taken the part were
-    /// asked whether they have, and all had not; zero: some did not tell.
-    /// @return Whether leases may be renewed.
+    /// @param peers_confirmed_at Time at which the oldest of the other entries'
+    /// confirmations was requested; zero if one of them is missing.
+    /// @return Whether the owner may renew leases.
     bool is_valid(instant now, instant peers_confirmed_at) const
     {
         return now - std::max(store_confirmed_at_, peers_confirmed_at) <=
                settings_.max_age;
     }
 
-    /// @return Since when an entry must have been heard to be waited for.
+    /// @return The start of the period in which an entry must have been heard
+    /// for its confirmation to be required.
     instant active_since() const
     {
         return store_confirmed_at_ - settings_.peer_retention;
     }
 
-    /// @return Limits.
+    /// @return The time limits in use.
     const claim_validity_settings& settings() const { return settings_; }
 
 private:
-    claim_validity_settings settings_; ///< Limits.
-    instant store_confirmed_at_{};     ///< When the store was asked that
-                                       ///< confirmed it last.
-    instant last_store_check_{};       ///< Last question to the store.
+    claim_validity_settings settings_;
+    instant store_confirmed_at_{}; ///< Send time of the confirmed request.
+    instant last_store_check_{};   ///< Send time of the latest request.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/configuration_tracker.cpp
+++ b/src/glenhollow/durable/configuration_tracker.cpp
@@ -23,7 +23,7 @@
         {document, configuration_source::store, 0, dependencies_.clock.now()});
 }
 
-/// Equal bytes are an equal version, which costs no reading.
+/// Documents with equal bytes are the same version and need not be parsed.
 bool configuration_tracker::is_known(const candidate& one) const
 {
     if (one.version != 0 && one.version <= catalog_.version)
@@ -34,8 +34,8 @@
             std::hash<std::string>{}(one.document) == invalid_hash_);
 }
 
-/// The store's word takes the place of a waiting copy: a copy can be asked for
-/// again, a row that was told is not told again.
+/// A document from the store replaces a waiting copy. A copy can be requested
+/// again, but the store does not deliver a row twice.
 void configuration_tracker::offer(candidate one)
 {
     if (is_known(one))
@@ -148,7 +148,7 @@
     std::uniform_int_distribution<std::size_t> any(0, newer_peers_.size() - 1);
     const auto chosen = std::next(newer_peers_.begin(),
                                   static_cast<std::ptrdiff_t>(any(random_)));
-    // It says so again when it is still there.
+    // A peer that is still alive announces its version again.
     const auto peer = chosen->first;
     newer_peers_.erase(chosen);
     fetch_from(peer);
@@ -176,23 +176,26 @@
     const auto count = [&page](std::string_view name, std::string_view help,
                                std::uint64_t value)
     { page.counter(name, help, static_cast<double>(value)); };
-    count("configurations_taken_total", "Versions put in force",
+    count("configurations_taken_total", "Configuration versions put in force",
           stats_.applied);
-    count("configurations_repeated_total", "Documents known already",
+    count("configurations_repeated_total",
+          "Configuration documents skipped because already known",
           stats_.repeated);
-    count("configurations_older_total", "Documents read and not newer",
-          stats_.stale);
-    count("configurations_unreadable_total", "Documents with a fault",
-          stats_.invalid);
-    count("configuration_slices_total", "Slices in which they were read",
-          stats_.slices);
-    count("configuration_fetches_total", "Copies asked of other entries",
-          stats_.fetches);
-    page.summary("configuration_seconds",
-                 "From a document's arrival to its force", stats_.times);
-    page.gauge("configuration_queues", "Queues in force",
+    count("configurations_older_total",
+          "Configuration documents read but not newer", stats_.stale);
+    count("configurations_unreadable_total",
+          "Configuration documents that failed to parse", stats_.invalid);
+    count("configuration_slices_total",
+          "Slices in which configuration documents were parsed", stats_.slices);
+    count("configuration_fetches_total",
+          "Configuration copies requested from other entries", stats_.fetches);
+    page.summary(
+        "configuration_seconds",
+        "Time from the receipt of a configuration document to its application",
+        stats_.times);
+    page.gauge("configuration_queues", "Queues of the configuration in force",
                static_cast<double>(catalog_.queues().size()));
-    page.gauge("configuration_version", "Newest version taken",
+    page.gauge("configuration_version", "Version of the configuration in force",
                static_cast<double>(catalog_.version));
 }
 
--- a/src/glenhollow/durable/configuration_tracker.hpp
+++ b/src/glenhollow/durable/configuration_tracker.hpp
@@ -20,11 +20,11 @@
 namespace glenhollow
 {
 
-/// Who brought a configuration's document.
+/// Origin of a configuration document.
 enum class configuration_source
 {
-    store, ///< The row, as read or as changed.
-    peer,  ///< Another entry.
+    store, ///< The configuration's row in the store.
+    peer,  ///< A copy from another entry.
 };
 
 template <>
@@ -33,98 +33,100 @@
     static constexpr std::array<std::string_view, 2> names{"store", "peer"};
 };
 
-/// A document as another entry has it.
+/// A configuration document sent by another entry.
 struct configuration_copy
 {
-    std::uint64_t version = 0; ///< As that entry says.
-    std::string document;      ///< Whole.
+    std::uint64_t version = 0; ///< Version as stated by that entry.
+    std::string document;      ///< Complete document.
 };
 
-/// Limits of a configuration keeper.
+/// Timing of a configuration tracker.
 struct configuration_tracker_settings
 {
-    /// The store brings a new version to all entries; a copy from a peer would
-    /// only fill that peer's link, 250 KB for each entry that asks. Where
-    /// nothing is in force every request is refused, and a peer is asked at
-    /// once.
+    /// Time that the store has to deliver a version that a peer already has.
+    /// Copies from peers load the peers' links. An entry without any
+    /// configuration refuses all requests, so it asks a peer immediately.
     duration store_grace = milliseconds{400};
-    duration fetch_timeout = milliseconds{800}; ///< Then another peer is asked.
-    /// Slices wait for requests no longer than this; the rest is read at once.
+    /// Time after which another peer is asked.
+    duration fetch_timeout = milliseconds{800};
+    /// Time for which slices of a document give way to requests; the rest of
+    /// the document is then read in one go.
     duration max_slice_wait = milliseconds{500};
-    std::uint64_t seed = 1; ///< Of the choice among peers.
+    std::uint64_t seed = 1; ///< Seed of the random choice among peers.
 };
 
-/// Numbers of a configuration keeper.
+/// Counters of a configuration tracker.
 struct configuration_tracker_stats
 {
     std::uint64_t applied = 0;  ///< Versions put in force.
-    std::uint64_t repeated = 0; ///< Documents known already, not read.
-    std::uint64_t stale = 0;    ///< Read, and not newer.
-    std::uint64_t invalid = 0;  ///< Documents with a fault.
-    std::uint64_t slices = 0;   ///< Read in all.
-    std::uint64_t fetches = 0;  ///< Copies asked of peers.
-    latency_summary times;      ///< From a document's arrival to its force.
+    std::uint64_t repeated = 0; ///< Documents skipped because already known.
+    std::uint64_t stale = 0;    ///< Documents read but not newer.
+    std::uint64_t invalid = 0;  ///< Documents that failed to parse.
+    std::uint64_t slices = 0;   ///< Slices read in total.
+    std::uint64_t fetches = 0;  ///< Copies requested from peers.
+    latency_summary times;      ///< Time from receipt to application.
 };
 
-/// Keeps the newest configuration of an entry: reads a document in slices
-/// between which requests are answered, reads none twice, and asks one peer
-/// for a copy where the store does not bring it. A version, once in force, is
-/// only replaced by a higher one. At most three documents are in memory: in
-/// force, being read, and waiting to be read.
+/// Keeps the newest configuration of an entry. Documents are parsed in slices
+/// so that requests are served in between, and a known document is not parsed
+/// again. If the store does not deliver a newer version, one peer is asked for
+/// a copy. A version in force is replaced only by a higher one. At most three
+/// documents are in memory: the one in force, the one being parsed and the one
+/// queued.
 class configuration_tracker final
 {
 public:
-    /// Called once with the copy, or with nothing.
+    /// Receives the copy, or nothing if there is no answer; called once.
     using copy_handler = std::function<void(std::optional<configuration_copy>)>;
 
-    /// What surrounds the keeper.
+    /// Collaborators of the tracker.
     struct dependencies
     {
-        const clock_source& clock; ///< Outlives it.
-        catalog_parser parse;      ///< Reads documents.
-        /// Runs work after what is ready now.
+        const clock_source& clock; ///< Must outlive the tracker.
+        catalog_parser parse;      ///< Starts to parse a document.
+        /// Runs work after everything that is ready now.
         std::function<void(std::function<void()>)> later;
-        /// Asks a peer for its copy.
+        /// Requests a peer's copy.
         std::function<void(const std::string& peer, copy_handler)> fetch;
-        std::function<void()> applied; ///< Told of each new version.
+        /// Called after each new version was put in force.
+        std::function<void()> applied;
     };
 
-    /// @param around What surrounds it.
-    /// @param settings Limits.
+    /// Creates a tracker without any configuration.
     configuration_tracker(dependencies dependencies,
                           const configuration_tracker_settings& settings);
 
-    /// @param document Whole, perhaps known.
+    /// Queues a document read from the store unless it is known.
     void offer_from_store(const std::string& document);
 
-    /// @param peer Another entry.
-    /// @param version Newest that it has.
+    /// Records the newest version that a peer has announced.
     void peer_has_version(const std::string& peer, std::uint64_t version);
 
-    /// Asks a peer where the store has not brought what others have.
+    /// Requests a copy from a peer if the store has not delivered a version
+    /// that peers have.
     /// @param store_reachable Whether the store answers this entry.
     void tick(bool store_reachable);
 
-    /// @return The newest version; its version is 0 while there is none.
+    /// @return The configuration in force; version 0 if there is none yet.
     const queue_catalog& catalog() const { return catalog_; }
 
-    /// @return Its document.
+    /// @return The document of the configuration in force.
     const std::string& document() const { return document_; }
 
-    /// @return Numbers.
+    /// @return Counters since the start.
     const configuration_tracker_stats& stats() const { return stats_; }
 
-    /// @param page Gets the metrics.
+    /// Adds the tracker's metrics to a page.
     void collect(metric_page& page) const;
 
 private:
-    /// A document that is to be read.
+    /// A received document that is not parsed yet.
     struct candidate
     {
-        std::string document;        ///< Whole.
-        configuration_source source; ///< Who brought it.
-        std::uint64_t version = 0;   ///< 0: not known before it is read.
-        instant at{};                ///< When it came.
+        std::string document;
+        configuration_source source;
+        std::uint64_t version = 0; ///< 0 if unknown before parsing.
+        instant at{};              ///< Time of receipt.
     };
 
     void offer(candidate one);
@@ -134,22 +136,22 @@
     void finish_reading(result<queue_catalog> read);
     void fetch_from(const std::string& peer);
 
-    dependencies dependencies_;               ///< What surrounds it.
-    configuration_tracker_settings settings_; ///< Limits.
-    queue_catalog catalog_;                   ///< In force.
-    std::string document_;                    ///< Its source.
-    std::optional<candidate> reading_;        ///< Being read.
-    std::unique_ptr<catalog_reader> reader_;  ///< Reads it.
-    std::optional<candidate> waiting_;        ///< To be read next.
-    std::size_t invalid_hash_ = 0; ///< Hash of the last one with a fault.
-    std::map<std::string, std::uint64_t>
-        newer_peers_;                   ///< Peers with higher ones.
-    std::uint64_t highest_known_ = 0;   ///< Version heard of.
-    instant behind_since_{};            ///< Since when it is higher than ours.
-    std::optional<instant> fetch_sent_; ///< When a copy was asked for.
-    std::uint64_t last_fetch_id_ = 0;   ///< Tells answers apart.
-    std::minstd_rand random_;           ///< Chooses among peers.
-    configuration_tracker_stats stats_; ///< Numbers.
+    dependencies dependencies_;
+    configuration_tracker_settings settings_;
+    queue_catalog catalog_;                  ///< Configuration in force.
+    std::string document_;                   ///< Document of catalog_.
+    std::optional<candidate> reading_;       ///< Document being parsed.
+    std::unique_ptr<catalog_reader> reader_; ///< Parser of reading_.
+    std::optional<candidate> waiting_;       ///< Next document to parse.
+    std::size_t invalid_hash_ = 0; ///< Hash of the last invalid document.
+    /// Newer versions announced, by peer.
+    std::map<std::string, std::uint64_t> newer_peers_;
+    std::uint64_t highest_known_ = 0; ///< Highest version announced.
+    instant behind_since_{};          ///< Time of the first newer announcement.
+    std::optional<instant> fetch_sent_; ///< Send time of the open request.
+    std::uint64_t last_fetch_id_ = 0;   ///< Number of the latest request.
+    std::minstd_rand random_;           ///< Picks a peer.
+    configuration_tracker_stats stats_;
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/durable_members.cpp
+++ b/src/glenhollow/durable/durable_members.cpp
@@ -1,5 +1,5 @@
-// The processes of the deployment as an entry knows them, and with which agents
-// it has sessions.
+// Membership of an entry: the known processes of the deployment and the agents
+// with a session.
 #include "glenhollow/durable/durable_service.hpp"
 #include "glenhollow/telemetry/log.hpp"
 
@@ -28,7 +28,7 @@
     }
     const auto& known = member.value();
     const auto where = known.where.to_string();
-    // A row that is told again may hold another memo for its next process.
+    // Only a new address is logged; the memo may change often.
     if (std::exchange(member_addresses_[known.name], where) != where)
         log_change(log_level::info, "member_discovered",
                    {{"name", known.name},
@@ -42,8 +42,8 @@
     peers_.add(known.name, known.where);
 }
 
-/// Any agent may run a task of a journalled job, or be the only one with a
-/// label that a job needs.
+/// Every agent needs a session while there are open journalled jobs, since any
+/// agent may run their tasks, or while a required label has not been found.
 session_demand durable_service::required_sessions() const
 {
     session_demand needs;
--- a/src/glenhollow/durable/durable_service.cpp
+++ b/src/glenhollow/durable/durable_service.cpp
@@ -74,7 +74,7 @@
 
 std::uint32_t own_millicores(const durable_service_settings& of)
 {
-    return static_cast<std::uint32_t>(of.power * millicores_per_core);
+    return static_cast<std::uint32_t>(of.cpu_cores * millicores_per_core);
 }
 
 configuration_tracker_settings
@@ -222,7 +222,8 @@
     delay()(tick_interval, [this] { tick(); });
 }
 
-/// What a silent agent ran has lapsed after a while, for all parts alike.
+/// Ends the runs of agents that have been silent for too long. Their leases
+/// have expired by then.
 void durable_service::check_agents()
 {
     const auto now = clock_.now();
@@ -244,7 +245,7 @@
     }
 }
 
-/// One line each while for the people on call: what limits placement.
+/// Logs at intervals what limits placement, for operators.
 void durable_service::log_load()
 {
     const auto now = clock_.now();
@@ -277,7 +278,8 @@
                 {"free_cores", static_cast<std::int64_t>(free_cores)}});
 }
 
-/// An entry without parts would not see that the store answers again.
+/// Probes an unreachable store. An entry without parts sends it no requests and
+/// would not notice that it answers again.
 void durable_service::probe_store()
 {
     const auto now = clock_.now();
@@ -354,8 +356,9 @@
         log_evacuations("store");
 }
 
-/// Agents learn it with the answers to their reports; an entry that the store
-/// turns away, from the others.
+/// Logs the evacuated halls and announces them to other entries, since the
+/// store may be unreachable for some of them. Agents learn them from replies to
+/// their reports.
 void durable_service::log_evacuations(std::string_view source)
 {
     std::string halls;
@@ -410,8 +413,8 @@
     dispatcher_.detached(agent);
 }
 
-/// What it may run by this order is not given up before its time, nor later
-/// than that of an agent which is always busy.
+/// Starts the agent's silence timeout with the order, unless it has started
+/// earlier, so that the ordered run is given up neither too early nor too late.
 void durable_service::agent_ordered(const std::string& agent)
 {
     auto& since = agent_silence_[agent].since;
@@ -491,7 +494,7 @@
     view.store_reachable = store_.reachable();
     view.stopping = stopping_;
     view.catalog_version = configuration_tracker_.catalog().version;
-    view.power = own_millicores(settings_);
+    view.millicores = own_millicores(settings_);
     view.timers_on_time = timers_on_time_;
     view.agents = static_cast<std::uint32_t>(agents_.attached());
     view.started = start_time_s_;
@@ -547,8 +550,8 @@
 
 // Callers.
 
-/// Then agents need hardly tell this entry of their room: hosts place. Jobs of
-/// the journal are placed here.
+/// @return Whether job hosts place all tasks, so that this entry needs few
+/// capacity reports of agents. Journalled jobs are always placed by this entry.
 bool durable_service::delegates_all_jobs() const
 {
     return handover_.active() && dispatcher_.waiting() == 0;
--- a/src/glenhollow/durable/durable_service.hpp
+++ b/src/glenhollow/durable/durable_service.hpp
@@ -30,48 +30,50 @@
 namespace glenhollow
 {
 
-/// Where the configuration's document lies in the store.
+/// Location of the operator's rows in the store.
 struct catalog_location
 {
-    std::string table;             ///< Kind of row; no part.
-    std::string key;               ///< Of the configuration's row.
-    std::string evacuation_prefix; ///< Of the keys, each ending in a hall, of
-                                   ///< rows that are there while the hall's
-                                   ///< backend servers get no new work.
+    std::string table; ///< Table whose rows belong to no part.
+    std::string key;   ///< Key of the configuration row.
+    /// Prefix of the keys of evacuation rows; the rest of the key is a hall.
+    /// While the row exists, the hall's backend servers get no new tasks.
+    std::string evacuation_prefix;
 };
 
-/// Settings of the durable jobs of one entry.
+/// Settings of the durable jobs at one entry.
 struct durable_service_settings
 {
     std::string entry;             ///< Name of this entry.
-    std::uint64_t incarnation = 0; ///< Of this process.
-    host_port where;               ///< Its address for links.
-    std::size_t parts = 3;         ///< Of the journal, alike in all processes.
-    catalog_location catalog;      ///< Where the queues are told.
-    duration store_timeout = milliseconds{500}; ///< Failing for so long, the
-                                                ///< store is unreachable.
-    part_ownership_settings ownership;          ///< Limits.
-    job_coordinator_settings memory;            ///< Limits of jobs in memory.
-    agent_sessions_settings agents;             ///< Limits.
-    entry_peers_settings peers;                 ///< Limits.
-    job_router_settings router;                 ///< Limits.
-    memory_cancellation_settings cancellation;  ///< Limits.
-    dispatcher_settings dispatch;               ///< Limits.
-    report_budget_settings reports;             ///< Limits.
-    report_budget_settings placer_reports{5000, 500}; ///< While placing for
-                                                      ///< others, whose ends
-                                                      ///< it must know too.
-    double cpu_cores = 1.0;      ///< Of a core that this process may use.
-    bool share_placement = true; ///< A group's placer places for all.
-    placement_groups_settings placement;          ///< Limits of the groups.
-    job_handover_settings handover;               ///< Of jobs to agents.
-    table_follower_settings follower;             ///< Limits.
-    feed_pacing_settings member_feed;             ///< Of the rows of processes.
-    configuration_tracker_settings configuration; ///< Limits.
+    std::uint64_t incarnation = 0; ///< Incarnation of this process.
+    host_port where;               ///< Address of this entry for links.
+    /// Number of the journal's parts, which all processes must agree on.
+    std::size_t parts = 3;
+    catalog_location catalog;
+    /// Time of failed calls after which the store counts as unreachable.
+    duration store_timeout = milliseconds{500};
+    part_ownership_settings ownership;
+    job_coordinator_settings memory; ///< Settings of jobs in memory.
+    agent_sessions_settings agents;
+    entry_peers_settings peers;
+    job_router_settings router;
+    memory_cancellation_settings cancellation;
+    dispatcher_settings dispatch;
+    report_budget_settings reports;
+    /// Budget while this entry places tasks of other entries, whose ends are
+    /// reported to it as well.
+    report_budget_settings placer_reports{5000, 500};
+    double cpu_cores = 1.0;      ///< CPU capacity of this process in cores.
+    bool share_placement = true; ///< One entry places all tasks of a group.
+    placement_groups_settings placement;
+    job_handover_settings handover;
+    table_follower_settings follower;
+    feed_pacing_settings member_feed; ///< Pacing of the member rows' feed.
+    configuration_tracker_settings configuration;
 };
 
-/// The durable jobs of one entry: owned parts, links, routing. Runs inside an
-/// rpc_loop, on one thread.
+/// Runs the durable jobs of one entry: it owns parts of the journal, keeps
+/// links to agents and other entries, and routes calls to the owners of jobs.
+/// Runs in an rpc_loop, on one thread.
 class durable_service final : public durable_jobs,
                               private agent_session_listener,
                               private entry_peer_handler,
@@ -81,48 +83,47 @@
                               private task_source
 {
 public:
-    /// @param io Runs it.
-    /// @param clock Outlives it.
-    /// @param store Outlives it.
-    /// @param parse Reads the catalog's document.
-    /// @param settings Limits.
+    /// @param io Event loop of the service.
+    /// @param clock Must outlive the service.
+    /// @param store Must outlive the service.
+    /// @param parse Parses the configuration document.
     durable_service(boost::asio::io_context& io, const clock_source& clock,
                     row_store& store, catalog_parser parse,
                     const durable_service_settings& settings);
     ~durable_service() noexcept override;
 
-    /// Begins to read, announce and connect.
+    /// Starts to read the store, to announce this entry and to connect.
     void begin();
 
-    /// @return The interface offered to other entries.
+    /// @return The RPC interface offered to other entries.
     wire::EntryPeer::Client bootstrap() { return peers_.bootstrap(); }
 
-    /// @param seeds Addresses of entries that may be live.
+    /// Connects to addresses at which other entries may be live.
     void add_seeds(const std::vector<host_port>& seeds);
 
-    /// Gives all parts away.
+    /// Begins a planned stop: releases all parts.
     void stop();
 
-    /// Takes no more jobs in memory.
+    /// Refuses new jobs in memory from now on.
     void refuse_new()
     {
         refusing_ = true;
         memory_.refuse_new();
     }
 
-    /// Answers for all jobs in memory at once.
+    /// Replies to all open jobs in memory without waiting for their ends.
     void give_up_all();
 
-    /// Ends all links and delayed work; called while the event loop lives.
+    /// Ends all links and delayed work. Called while the event loop exists.
     void close();
 
-    /// @return Whether it has queues and is not being stopped.
+    /// @return Whether a configuration is in force and no stop has begun.
     bool ready() const;
 
-    /// @return Whether no part is owned any more.
+    /// @return Whether this entry owns no part.
     bool released() const { return ownership_.owned().empty(); }
 
-    /// @param page Gets the metrics of durable jobs.
+    /// Adds the metrics of durable jobs to a page.
     void collect(metric_page& page);
 
     // durable_jobs
@@ -225,56 +226,59 @@
     job_coordinator::dependencies dependencies();
     journal_chain::delay delay();
 
-    /// Guards delayed work; first, since the others' delays hold it.
+    /// Cleared by close() and the destructor; delayed work checks it. Declared
+    /// first, since the members' delay functions hold it.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-    boost::asio::io_context& io_;                 ///< Runs it.
-    const clock_source& clock_;                   ///< This entry's.
-    durable_service_settings settings_;           ///< Limits.
-    watched_store store_;                         ///< Where rows lie.
-    configuration_tracker configuration_tracker_; ///< The newest configuration.
-    evacuated_halls evacuated_;    ///< Halls that get no new work.
-    agent_directory directory_;    ///< All agents.
-    session_scope scope_;          ///< Those that need a session.
-    agent_sessions agents_;        ///< Links to these.
-    entry_peers peers_;            ///< Links to entries.
-    dispatcher dispatcher_;        ///< Places tasks.
-    report_budget reports_;        ///< That this machine can bear.
-    report_budget placer_reports_; ///< The same while placing for others.
-    placement_server placements_;  ///< Other entries' tasks.
-    placement_groups groups_;      ///< Where ours are placed.
-    std::int64_t start_time_s_ = wall_nanoseconds() / 1'000'000'000; ///< In s.
-    duration timer_lag_{};             ///< Of timers, on average.
-    bool timers_on_time_ = true;       ///< They come in time.
-    part_ownership ownership_;         ///< This entry's parts.
-    job_coordinator memory_;           ///< Jobs kept in memory alone.
-    job_handover handover_;            ///< Of these, to agents' processes.
-    job_router router_;                ///< Brings calls to owners.
-    memory_cancellation cancellation_; ///< Of jobs in memory.
-    table_follower member_rows_;       ///< Rows of processes.
-    table_follower operator_rows_;     ///< Rows of the operator.
-    member_announcer announcer_;       ///< Writes this entry's row.
-    /// How long an agent has been silent.
+    boost::asio::io_context& io_;
+    const clock_source& clock_;
+    durable_service_settings settings_;
+    watched_store store_;
+    configuration_tracker configuration_tracker_;
+    evacuated_halls evacuated_;
+    agent_directory directory_; ///< All known agents.
+    session_scope scope_;       ///< Agents that need a session.
+    agent_sessions agents_;
+    entry_peers peers_;
+    dispatcher dispatcher_;
+    report_budget reports_;
+    report_budget placer_reports_; ///< Budget while placing for others.
+    placement_server placements_;  ///< Tasks of other entries.
+    placement_groups groups_;      ///< Placers of this entry's tasks.
+    /// Start time in seconds since the Unix epoch.
+    std::int64_t start_time_s_ = wall_nanoseconds() / 1'000'000'000;
+    duration timer_lag_{};       ///< Average delay of the tick timer.
+    bool timers_on_time_ = true; ///< Whether timer_lag_ is within its limit.
+    part_ownership ownership_;
+    job_coordinator memory_;           ///< Jobs kept in memory only.
+    job_handover handover_;            ///< Handover of jobs to agent processes.
+    job_router router_;                ///< Routes calls to the owners of jobs.
+    memory_cancellation cancellation_; ///< Cancellation of jobs in memory.
+    table_follower member_rows_;       ///< Follows the member rows.
+    table_follower operator_rows_;     ///< Follows the operator's rows.
+    member_announcer announcer_;       ///< Writes this entry's member row.
+    /// Silence of one agent.
     struct agent_silence
     {
-        instant since{};                   ///< Unless it reports.
-        bool memory_runs_expired = false;  ///< Its runs in memory are given up.
-        bool journal_runs_expired = false; ///< All its runs are given up.
+        /// Time at which the silence began or, if later, at which the next
+        /// report is due.
+        instant since{};
+        bool memory_runs_expired = false;  ///< Its runs in memory are ended.
+        bool journal_runs_expired = false; ///< All its runs are ended.
     };
 
-    std::map<std::string, agent_silence> agent_silence_;  ///< By agent.
-    std::map<std::string, std::string> member_addresses_; ///< Address by name.
-    stall_watch stalls_{{}};                              ///< Of this process.
-    instant tick_due_{};       ///< When the next tick should come.
-    instant last_probe_{};     ///< Last probe of the store.
-    instant last_load_log_{};  ///< Last line on the load.
-    bool dispatching_ = false; ///< A dispatch is on its way.
-    bool placing_ = false;     ///< It places, for others or by itself.
-    bool stopping_ = false;    ///< A planned stop.
-    bool refusing_ = false;    ///< Takes no more jobs in memory.
-    std::uint32_t max_entry_millicores_ =
-        0; ///< Thousandths of a core that the most
-           ///< powerful entry known by its row may use.
-    std::set<std::string> entries_; ///< Other entries, by their rows.
+    std::map<std::string, agent_silence> agent_silence_; ///< Silence by agent.
+    std::map<std::string, std::string> member_addresses_;
+    stall_watch stalls_{{}};   ///< Detects stalls of this process.
+    instant tick_due_{};       ///< Scheduled time of the next tick.
+    instant last_probe_{};     ///< Time of the last probe of the store.
+    instant last_load_log_{};  ///< Time of the last placement_load event.
+    bool dispatching_ = false; ///< Whether a dispatch is scheduled.
+    bool placing_ = false;     ///< Whether this entry places any tasks.
+    bool stopping_ = false;    ///< Whether a planned stop has begun.
+    bool refusing_ = false;    ///< Whether new jobs in memory are refused.
+    std::uint32_t max_entry_millicores_ = 0; ///< Highest CPU capacity in other
+                                             ///< entries' rows, in millicores.
+    std::set<std::string> entries_;          ///< Other entries that have a row.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/entry_peers.cpp
+++ b/src/glenhollow/durable/entry_peers.cpp
@@ -115,25 +115,25 @@
            std::any_of(released.begin(), released.end(), is_later);
 }
 
-/// One other entry.
+/// State of one other entry.
 struct entry_peers::peer
 {
-    std::string name;                          ///< Its name.
-    std::unique_ptr<rpc_link> link;            ///< The connection.
-    kj::Maybe<wire::EntryPeer::Client> remote; ///< While connected.
-    bool exchanging = false;                   ///< An exchange is out.
-    bool exchange_pending = false;             ///< Another is wanted after it.
-    bool was_live = false;                     ///< For the log.
-    instant exchange_sent{};                   ///< Last exchange sent.
-    instant view_received_at{};                ///< Last view heard.
-    instant asked{};                           ///< When the last exchange left
-                                               ///< that it has answered.
-    instant down_since{};                      ///< Zero while connected.
-    instant added{};                           ///< When it became known.
-    entry_view view;                           ///< Its last view.
+    std::string name;
+    std::unique_ptr<rpc_link> link;
+    kj::Maybe<wire::EntryPeer::Client> remote; ///< Set while connected.
+    bool exchanging = false;                   ///< An exchange is in progress.
+    bool exchange_pending = false;             ///< Another exchange follows it.
+    bool was_live = false;                     ///< Last state that was logged.
+    instant exchange_sent{};          ///< Send time of the latest exchange.
+    instant view_received_at{};       ///< Arrival time of the latest view.
+    instant answered_exchange_sent{}; ///< Send time of the latest answered
+                                      ///< exchange.
+    instant down_since{};             ///< Zero while connected.
+    instant added{};
+    entry_view view; ///< Latest view.
 };
 
-/// What other entries call.
+/// RPC interface offered to other entries.
 class entry_peers::peer_server final : public wire::EntryPeer::Server
 {
 public:
@@ -149,20 +149,21 @@
 
     kj::Promise<void> call(CallContext context) override
     {
-        auto asked = context.getParams().getCall();
+        auto request = context.getParams().getCall();
         job_call call;
-        // A call that is not named here was not done, and nobody says it was.
-        if (asked.getVerb() >= name_table<job_verb>::names.size())
+        // An unknown verb, sent by a newer version, is not run. The default
+        // reply states an unknown outcome.
+        if (request.getVerb() >= name_table<job_verb>::names.size())
         {
             fill(context.getResults().initAnswer(), job_reply{});
             return kj::READY_NOW;
         }
-        call.verb = static_cast<job_verb>(asked.getVerb());
-        call.id = asked.getJob();
-        call.forward_to = asked.getOnward();
+        call.verb = static_cast<job_verb>(request.getVerb());
+        call.id = request.getJob();
+        call.forward_to = request.getOnward();
         if (call.verb == job_verb::submit)
         {
-            auto job = decode_definition(text_of(asked.getBody()));
+            auto job = decode_definition(text_of(request.getBody()));
             if (!job || job.value().id != call.id)
             {
                 fill(context.getResults().initAnswer(), job_reply{});
@@ -294,7 +295,7 @@
                     return;
                 auto& from = *known->second;
                 from.exchanging = false;
-                from.asked = exchange_sent;
+                from.answered_exchange_sent = exchange_sent;
                 from.down_since = {};
                 view_received(name, view_from(answer.getView()));
                 if (from.view.name != name)
@@ -321,7 +322,7 @@
     handler_.peer_view_received(view);
 }
 
-/// A seed has told its name.
+/// Replaces a seed address by the entry that answered there.
 void entry_peers::rename(const std::string& from, const std::string& to)
 {
     boost::asio::post(io_,
@@ -357,8 +358,8 @@
            now - one.down_since < settings_.down_grace;
 }
 
-/// Takes turns, so that peers that are away don't use up the attempts of the
-/// others.
+/// Connects in turns, so that unreachable peers do not use up the attempts of
+/// the others.
 void entry_peers::connect_due()
 {
     auto at = peers_.upper_bound(last_connect_name_);
@@ -444,7 +445,7 @@
     const auto now = clock_.now();
     for (auto& [name, one] : peers_)
     {
-        if (!one->exchanging && now - one->asked >= max_age)
+        if (!one->exchanging && now - one->answered_exchange_sent >= max_age)
             exchange(*one);
     }
 }
@@ -460,8 +461,8 @@
             continue;
         if (!refused_at && one->view.has_later_claim(claim))
             return {};
-        oldest = std::min(oldest,
-                          std::max(one->asked, refused_at.value_or(instant{})));
+        oldest = std::min(oldest, std::max(one->answered_exchange_sent,
+                                           refused_at.value_or(instant{})));
     }
     return oldest;
 }
--- a/src/glenhollow/durable/entry_peers.hpp
+++ b/src/glenhollow/durable/entry_peers.hpp
@@ -21,47 +21,48 @@
 namespace glenhollow
 {
 
-/// Jobs of one queue and part that have not begun.
+/// Number of jobs of one queue and part that have not started.
 struct queue_backlog
 {
-    std::string queue;         ///< The queue.
-    part_number part = 0;      ///< The part.
-    std::uint32_t pending = 0; ///< Jobs.
+    std::string queue;
+    part_number part = 0;
+    std::uint32_t pending = 0; ///< Jobs that have not started.
 };
 
-/// What an entry tells the others of itself.
+/// State of an entry as announced to the other entries.
 struct entry_view
 {
-    std::string name;                   ///< Its name.
-    std::uint64_t incarnation = 0;      ///< Of its process.
-    std::vector<part_epoch> parts;      ///< That it owns.
-    bool store_reachable = true;        ///< The store answers it.
-    bool stopping = false;              ///< It is being stopped.
-    std::uint64_t catalog_version = 0;  ///< Newest it has.
-    std::vector<queue_backlog> pending; ///< Of its parts.
-    std::vector<part_epoch> released;   ///< Given away, free to take.
-    std::uint32_t millicores = 0; ///< Thousandths of a core that it may use.
-    bool timers_on_time = false;  ///< Its own timers come in time.
-    std::uint32_t agents = 0;     ///< With which it has a session.
-    std::int64_t started = 0;     ///< By its time of day, in seconds.
-    evacuated_halls evacuated;    ///< Halls that get no new work.
-
-    /// @param part A part.
-    /// @return Whether this entry owns it.
+    std::string name;
+    std::uint64_t incarnation = 0;     ///< Incarnation of the entry's process.
+    std::vector<part_epoch> parts;     ///< Owned parts.
+    bool store_reachable = true;       ///< Whether the store answers the entry.
+    bool stopping = false;             ///< Whether a planned stop has begun.
+    std::uint64_t catalog_version = 0; ///< Version of its configuration.
+    std::vector<queue_backlog> pending; ///< Backlogs of the owned parts.
+    std::vector<part_epoch> released;   ///< Released parts, free to claim.
+    std::uint32_t millicores = 0;       ///< CPU capacity in millicores.
+    bool timers_on_time = false;        ///< Whether its timers fire on time.
+    std::uint32_t agents = 0;           ///< Agents with a session.
+    std::int64_t started = 0;  ///< Start time in seconds since the Unix epoch.
+    evacuated_halls evacuated; ///< Halls that get no new tasks.
+
+    /// @return Whether this entry owns a part.
     bool owns(part_number part) const;
 
-    /// @param claim Of another entry.
-    /// @return Whether this one has claimed the part later.
+    /// @param claim Claim of another entry.
+    /// @return Whether this entry has claimed the same part with a higher
+    /// epoch.
     bool has_later_claim(part_epoch claim) const;
 };
 
-/// What is asked of a job's owner.
+/// Operation requested from a job's owner.
 enum class job_verb : std::uint8_t
 {
-    submit,          ///< Accept it.
-    cancel,          ///< Cancel it.
-    state,           ///< Tell its state.
-    cancel_in_memory ///< Cancel it if it is kept in memory there; any entry's.
+    submit,
+    cancel,
+    state,
+    /// Cancels a job that is kept in memory; sent to any entry.
+    cancel_in_memory
 };
 
 template <>
@@ -71,166 +72,163 @@
         "submit", "cancel", "state", "cancel_in_memory"};
 };
 
-/// A call for one job.
+/// Request for one job.
 struct job_call
 {
-    job_verb verb = job_verb::state; ///< What is asked.
-    job_id id = 0;                   ///< Of which job.
-    job_definition job;              ///< When submitted.
-    std::string forward_to{};        ///< To be passed on to this entry.
+    job_verb verb = job_verb::state;
+    job_id id = 0;
+    job_definition job;       ///< Set only for a submission.
+    std::string forward_to{}; ///< Entry to forward the call to; may be empty.
 };
 
-/// Answers other entries.
+/// Serves calls of other entries.
 class entry_peer_handler
 {
 public:
     virtual ~entry_peer_handler() = default;
 
-    /// @return This entry as others should see it.
+    /// @return The state to announce to other entries.
     virtual entry_view own_view() = 0;
 
-    /// @param view Another entry's.
+    /// Called for each view received from another entry.
     virtual void peer_view_received(const entry_view& view) = 0;
 
-    /// @param call For a job of a part that this entry should own.
-    /// @param done Told the answer.
+    /// Serves a call for a job of a part that this entry should own.
+    /// @param done Called with the reply.
     virtual void serve(const job_call& call, job_reply_handler done) = 0;
 
-    /// @return The newest catalog's document.
+    /// @return The document of the newest configuration.
     virtual std::string catalog_document() = 0;
 
-    /// @return Jobs in memory that it remembers as cancelled.
+    /// @return Remembered cancellations of jobs in memory.
     virtual std::vector<cancel_record> cancelled_jobs() { return {}; }
 
-    /// @param entry Wants this entry to place its tasks.
-    /// @param grants Told of places.
-    /// @return Its session.
+    /// Opens a session in which this entry places another entry's tasks.
+    /// @param entry Name of the other entry.
+    /// @param grants Receives the grants.
+    /// @return The session.
     virtual wire::PlacementSession::Client
     open_placement(const std::string& entry,
                    wire::PlacementGrants::Client grants) = 0;
 };
 
-/// How often an entry tries to connect to others, however many are away.
+/// Rate limit of connection attempts, shared by all links.
 struct connect_budget
 {
-    double per_s = 100; ///< Attempts.
-    double burst = 32;  ///< At once: a small deployment needs no more.
+    double per_s = 100; ///< Attempts per second.
+    double burst = 32;  ///< Attempts in one burst.
 };
 
-/// Limits of the links between entries.
+/// Settings of the links between entries.
 struct entry_peers_settings
 {
-    connect_budget connects;                 ///< For all links together.
-    exchange_pacing_settings exchange;       ///< How often views go round.
-    gossip_fanout_settings gossip;           ///< Of facts that all must learn.
-    duration down_grace = milliseconds{150}; ///< A lost link may come back.
-    rpc_link_settings link;                  ///< Limits of the connections.
+    connect_budget connects;
+    exchange_pacing_settings exchange;
+    gossip_fanout_settings gossip;
+    /// Time for which an entry still counts as live after its link was lost.
+    duration down_grace = milliseconds{150};
+    rpc_link_settings link;
 };
 
-/// Links to the other entries. Runs inside an rpc_loop.
+/// Links to the other entries. Entries exchange views of their state at regular
+/// intervals; an entry counts as live while it answers. Runs in an rpc_loop.
 class entry_peers final
 {
 public:
-    /// Told an answer, or nothing where there is none.
+    /// Receives a reply, or nothing if there is no answer.
     using answer_handler = std::function<void(std::optional<job_reply>)>;
 
-    /// @param io Runs them.
-    /// @param clock Outlives them.
-    /// @param handler Outlives them.
-    /// @param settings Limits.
+    /// @param io Event loop of the links.
+    /// @param clock Must outlive this object.
+    /// @param handler Must outlive this object.
     entry_peers(boost::asio::io_context& io, const clock_source& clock,
                 entry_peer_handler& handler,
                 const entry_peers_settings& settings);
     ~entry_peers();
 
-    /// @param name Of the entry.
-    /// @param where Its address.
+    /// Adds an entry, or replaces its link if the address has changed.
     void add(const std::string& name, const host_port& where);
 
-    /// @return The interface offered to other entries.
+    /// @return The RPC interface offered to other entries.
     wire::EntryPeer::Client bootstrap();
 
-    /// Connects, exchanges, and notes who is silent.
+    /// Connects and exchanges views as due, and drops silent links.
     void tick();
 
-    /// Ends all links. Their calls live in the event loop and must not
-    /// outlast it.
+    /// Ends all links. Called while the event loop exists, since pending calls
+    /// must not outlive it.
     void close();
 
-    /// Tells all others at once.
+    /// Exchanges views with all entries now.
     void exchange_all();
 
-    /// Tells a few others at once a fact that each of them passes on when it
-    /// is new there.
+    /// Exchanges views with a few random entries now. An entry that learns
+    /// something new forwards it in the same way.
     void gossip();
 
-    /// @return Attempts to connect so far.
+    /// @return Number of connection attempts so far.
     std::uint64_t connect_attempts() const { return attempts_; }
 
-    /// @return Views of the entries that are live, good until the next call
-    /// that is not const. Not copied: each tick goes through all of them.
+    /// @return Views of all live entries, valid until the next non-const call.
     std::vector<const entry_view*> live() const;
 
-    /// @param name An entry.
-    /// @return Its view, or null where it is not live.
+    /// @return The view of an entry, or null if it is not live.
     const entry_view* find(const std::string& name) const;
 
-    /// Exchanges with those whose last word is older, as far as they can be
-    /// reached.
-    /// @param older Than this.
+    /// Exchanges views with all connected entries whose latest view is older
+    /// than a limit.
     void refresh(duration max_age);
 
-    /// What other entries say of a claim: each that was heard lately has been
-    /// asked and told of no later one, or its machine says that its process has
-    /// ended.
-    /// @param claim This entry's.
-    /// @param active_since Those that were silent since then don't count.
-    /// @return When the one was asked whose word is the oldest; zero where one
-    /// has told nothing, or of a later claim.
+    /// Determines how recently all other entries have confirmed a claim. An
+    /// entry confirms it with a view that has no later claim of the part, or by
+    /// the end of its process, seen when its VM refuses a connection.
+    /// @param claim Claim of this entry.
+    /// @param active_since Entries that were silent since then are ignored.
+    /// @return The time at which the oldest confirmation was requested; zero if
+    /// an entry has not answered or has a later claim.
     instant oldest_confirmation(part_epoch claim, instant active_since) const;
 
-    /// @param name An entry that is not live.
-    /// @return Whether its machine refuses connections: its process has ended.
+    /// @return Whether the VM of an entry refuses connections, so that the
+    /// entry's process must have ended.
     bool refuses_connections(const std::string& name) const;
 
-    /// @param name The entry to ask.
-    /// @param call What.
-    /// @param done Told the answer.
+    /// Sends a call to another entry.
+    /// @param done Called once with the reply.
     void call(const std::string& name, const job_call& call,
               answer_handler done);
 
-    /// @return All that are known, live or not.
+    /// @return Connection states of all known entries, live or not.
     std::vector<peer_status> connection_states() const;
 
-    /// @param name The entry to ask.
-    /// @param done Told the jobs in memory that it remembers as cancelled.
+    /// Asks an entry for its remembered cancellations of jobs in memory.
+    /// @param done Called with these, or with nothing if there is no answer.
     void fetch_cancelled(const std::string& name,
                          cancel_peers::cancel_records_handler done);
 
-    /// @param name An entry.
-    /// @return Whether there is a connection to it.
+    /// @return Whether an entry is connected.
     bool connected(const std::string& name) const;
 
-    /// Told the placer's incarnation and its session.
+    /// Receives the placer's incarnation and session.
     using placement_handler =
         std::function<void(std::uint64_t, wire::PlacementSession::Client)>;
 
-    /// @param name The entry that shall place.
-    /// @param entry This entry's name.
-    /// @param incarnation Of this process.
-    /// @param grants Told of places.
-    /// @param done Told the session; never, where the link breaks.
-    /// @return Whether it was asked.
+    /// Requests a session in which another entry places this entry's tasks.
+    /// @param name Entry that acts as placer.
+    /// @param entry Name of this entry.
+    /// @param incarnation Incarnation of this process.
+    /// @param grants Receives the grants.
+    /// @param done Called with the session; not called if the link breaks.
+    /// @return Whether the request was sent.
     bool open_placement(const std::string& name, const std::string& entry,
                         std::uint64_t incarnation,
                         wire::PlacementGrants::Client grants,
                         placement_handler done);
 
-    /// @param work Runs after what runs now.
+    /// Runs work after the current handler.
     void later(std::function<void()> work);
 
-    /// @param name The entry to ask.
-    /// @param done Told its newest catalog, or nothing.
+    /// Requests the configuration of an entry.
+    /// @param done Called with the copy, or with nothing if there is no answer.
     void fetch_catalog(const std::string& name,
                        configuration_tracker::copy_handler done);
 
@@ -247,17 +245,17 @@
     bool is_live(const peer& one) const;
     bool is_due(const peer& one) const;
 
-    boost::asio::io_context& io_;                        ///< Runs them.
-    const clock_source& clock_;                          ///< This entry's.
-    entry_peer_handler& handler_;                        ///< Answers.
-    entry_peers_settings settings_;                      ///< Limits.
-    exchange_pacing pacing_;                             ///< Of exchanges.
-    gossip_fanout fanout_;                               ///< Of gossip.
-    std::map<std::string, std::unique_ptr<peer>> peers_; ///< By name.
-    std::string own_name_;                               ///< Of this entry.
-    token_bucket connects_;                              ///< Attempts left.
-    std::string last_connect_name_; ///< Name that the last attempt went to.
-    std::uint64_t attempts_ = 0;    ///< To connect, so far.
+    boost::asio::io_context& io_;
+    const clock_source& clock_;
+    entry_peer_handler& handler_;
+    entry_peers_settings settings_;
+    exchange_pacing pacing_;
+    gossip_fanout fanout_;
+    std::map<std::string, std::unique_ptr<peer>> peers_; ///< Peers by name.
+    std::string own_name_;          ///< Name of this entry.
+    token_bucket connects_;         ///< Limits connection attempts.
+    std::string last_connect_name_; ///< Peer of the latest attempt.
+    std::uint64_t attempts_ = 0;    ///< Connection attempts so far.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/member_directory.cpp
+++ b/src/glenhollow/durable/member_directory.cpp
@@ -18,8 +18,8 @@
 constexpr std::size_t memo_field = 2;
 constexpr std::size_t millicores_field = 3;
 
-/// What changes more often is written once: a backend server that ends and
-/// starts again all the time must not cost a write each time.
+/// Memos that change within this time are written once. A backend server that
+/// restarts in a loop must not cause a write per restart.
 constexpr duration memo_write_delay = seconds{2};
 
 row_key member_key(const std::string& name)
@@ -49,12 +49,12 @@
             from_name<member_role>(json::value_to<std::string>(fields.at(0)));
         if (!role)
             return failure{"the row of member " + row.key.key +
-                           " names no role"};
+                           " has an unknown role; allowed are entry and agent"};
         BOOST_OUTCOME_TRY(
             auto where,
             host_port::parse(json::value_to<std::string>(fields.at(1))));
         member_row member{row.key.key, *role, where, {}, 0};
-        if (fields.size() > memo_field) // Rows of before have none.
+        if (fields.size() > memo_field) // Rows of older versions have none.
             member.memo = json::value_to<std::string>(fields[memo_field]);
         if (fields.size() > millicores_field)
             member.millicores =
@@ -64,7 +64,7 @@
     catch (const std::exception& wrong)
     {
         return failure{"the row of member " + row.key.key +
-                       " has a wrong form: " + wrong.what()};
+                       " is malformed: " + wrong.what()};
     }
 }
 
@@ -75,15 +75,15 @@
     {
     }
 
-    row_store& store;                  ///< Where rows lie.
-    journal_chain::delay later;        ///< Runs delayed work.
-    member_row self;                   ///< This process.
-    memo_handler on_memo;              ///< Told what an earlier process kept.
-    bool busy = false;                 ///< A look or a write is under way.
-    bool memo_write_scheduled = false; ///< A memo will be written.
-    bool closed = false;               ///< The announcer is gone.
+    row_store& store;
+    journal_chain::delay later;
+    member_row self;      ///< Row of this process.
+    memo_handler on_memo; ///< Receives the previous process's memo.
+    bool busy = false;    ///< Whether a read or a write is in progress.
+    bool memo_write_scheduled = false;
+    bool closed = false; ///< Whether the announcer was destroyed.
 
-    /// A row that says the same already is left alone.
+    /// Reads the row, and writes it only if it differs.
     void check_row()
     {
         busy = true;
@@ -138,7 +138,8 @@
             });
     }
 
-    /// One that comes while another is written follows it.
+    /// Schedules a write of the memo. A memo set while a write is in progress
+    /// is written after it.
     void keep_memo(std::string memo)
     {
         if (memo == self.memo)
--- a/src/glenhollow/durable/member_directory.hpp
+++ b/src/glenhollow/durable/member_directory.hpp
@@ -12,11 +12,11 @@
 namespace glenhollow
 {
 
-/// What a process of the system does.
+/// Role of a process in the deployment.
 enum class member_role : std::uint8_t
 {
-    entry, ///< Takes jobs.
-    agent  ///< Beside a runner.
+    entry, ///< Accepts jobs from callers.
+    agent  ///< Runs beside a backend server.
 };
 
 template <>
@@ -25,50 +25,49 @@
     static constexpr std::array<std::string_view, 2> names{"entry", "agent"};
 };
 
-/// One process as its row tells.
+/// Contents of one process's row.
 struct member_row
 {
-    std::string name;                      ///< Of the machine.
-    member_role role = member_role::entry; ///< What it does.
-    host_port where;                       ///< Its address for links.
-    std::string memo{}; ///< What it keeps for its next process; may be empty.
-    std::uint32_t millicores = 0; ///< Thousandths of a core that it may use; 0:
-                                  ///< not told.
+    std::string name; ///< Name of the member; it survives restarts.
+    member_role role = member_role::entry;
+    host_port where;    ///< Address for links.
+    std::string memo{}; ///< State saved for the member's next process.
+    std::uint32_t millicores = 0; ///< CPU capacity in millicores; 0: unknown.
 };
 
-/// @param row The member's row.
-/// @return The member, or what is wrong with the row.
+/// Parses a member's row.
+/// @return The member, or an error that names the row.
 result<member_row> decode_member(const stored_row& row);
 
-/// Writes this process's row until it is there; a row is a hint, links tell
-/// who is alive.
+/// Writes this process's row and retries until the store has it. Rows only
+/// tell the address of a member; links show whether it is alive.
 class member_announcer final
 {
 public:
-    /// Told the memo of an earlier process.
+    /// Receives the memo that the previous process saved.
     using memo_handler = std::function<void(const std::string&)>;
 
-    /// @param store Outlives it.
-    /// @param later Runs delayed work.
-    /// @param self This process.
+    /// @param store Must outlive the announcer.
+    /// @param later Schedules delayed work.
+    /// @param self Row of this process.
     member_announcer(row_store& store, journal_chain::delay later,
                      member_row self);
     ~member_announcer();
 
-    /// Begins to write.
-    /// @param on_memo Told once what an earlier process kept, if anything.
+    /// Starts writing the row.
+    /// @param on_memo Called once if a previous process saved a memo.
     void begin(memo_handler on_memo = {});
 
-    /// Keeps a memo in the row, some time from now; the latest one counts.
-    /// @param memo For the next process of this member.
+    /// Saves a memo in the row for the next process of this member. Writes are
+    /// delayed and combined; the latest memo wins.
     void keep(std::string memo);
 
 private:
     struct state;
-    std::shared_ptr<state> state_; ///< Shared with calls that are out.
+    std::shared_ptr<state> state_; ///< Shared with pending callbacks.
 };
 
-/// Table of the rows.
+/// Table of the member rows.
 inline constexpr std::string_view members_table = "members";
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/part_loader.cpp
+++ b/src/glenhollow/durable/part_loader.cpp
@@ -17,7 +17,7 @@
 constexpr std::array tables{jobs_table, progress_table, ended_table,
                             members_table};
 
-/// @return Whether the progress is of tasks that the job has, each once.
+/// @return Whether the progress names only tasks of the job, each at most once.
 bool fits(const job_progress& progress, const job_definition& job)
 {
     const auto tasks = job.task_count();
@@ -31,7 +31,7 @@
                        [tasks](const auto& one) { return one.task < tasks; });
 }
 
-/// One load under way.
+/// State of one load in progress.
 struct load : std::enable_shared_from_this<load>
 {
     load(row_store& rows, part_number number,
@@ -40,16 +40,16 @@
     {
     }
 
-    row_store& store;                                     ///< Where rows lie.
-    part_number part;                                     ///< Which part.
-    std::function<void(std::optional<loaded_part>)> done; ///< Told the end.
-    loaded_part loaded;                                   ///< So far.
-    std::size_t pending_tables = tables.size();           ///< Tables to read.
-    bool failed = false;                                  ///< A read failed.
+    row_store& store;
+    part_number part;
+    std::function<void(std::optional<loaded_part>)> done;
+    loaded_part loaded; ///< Rows read so far.
+    std::size_t pending_tables = tables.size();
+    bool failed = false; ///< Whether a read has failed.
 
     void read(std::string_view table, const std::string& from)
     {
-        // Members are the same for all parts.
+        // Member rows belong to no part.
         const auto of =
             table == members_table ? std::string() : part_name(part);
         row_range range{std::string(table), of, from, {}, 0};
@@ -64,7 +64,7 @@
             add_row(table, row);
         if (!failed && got.more && !got.rows.empty())
         {
-            // The least key past the last one.
+            // The smallest key after the last one.
             return read(table, got.rows.back().key.key + '0');
         }
         if (--pending_tables > 0)
@@ -81,14 +81,15 @@
             return add_member(row);
         const auto id = job_id_from(row.key.key);
         if (!id)
-            return; // Nobody can ask for it.
+            return; // No caller can name this job.
         if (table == jobs_table)
             add_decoded(table, *id, decode_definition(row.value),
                         [this, id](job_definition job)
                         {
                             if (job.id != *id)
-                                return mark_unreadable(jobs_table, *id,
-                                                       "it names another job");
+                                return mark_unreadable(
+                                    jobs_table, *id,
+                                    "the row names another job");
                             loaded.jobs.push_back(std::move(job));
                         });
         else if (table == progress_table)
@@ -101,7 +102,7 @@
                         { loaded.ended.emplace_back(*id, end); });
     }
 
-    /// A member whose row can't be read may be an agent.
+    /// Adds an agent. A member with an invalid row may be an agent.
     void add_member(const stored_row& row)
     {
         const auto member = decode_member(row);
@@ -136,8 +137,9 @@
             const auto progress = loaded.progress.find(job.id);
             if (progress != loaded.progress.end() &&
                 !fits(progress->second, job))
-                mark_unreadable(progress_table, job.id,
-                                "it counts tasks that are not its");
+                mark_unreadable(
+                    progress_table, job.id,
+                    "the progress names tasks that the job does not have");
         }
         const auto is_unreadable = [this](job_id id)
         { return loaded.unreadable.contains(id); };
--- a/src/glenhollow/durable/part_loader.hpp
+++ b/src/glenhollow/durable/part_loader.hpp
@@ -20,25 +20,24 @@
 inline constexpr std::string_view progress_table = "progress";
 inline constexpr std::string_view ended_table = "ended";
 
-/// What the journal holds of a part.
+/// Journal contents of one part.
 struct loaded_part
 {
-    std::vector<job_definition> jobs;                  ///< Not ended.
-    std::unordered_map<job_id, job_progress> progress; ///< Of these.
-    std::vector<std::pair<job_id, ended_job>> ended;   ///< Ended.
-    std::set<job_id> unreadable; ///< With a row that can't be read, and in none
-                                 ///< of the others: not known to be undone,
-                                 ///< so that nobody may run or end them.
-    std::set<std::string> agents; ///< With a row since before the claim: any of
-                                  ///< them may run something of it, also those
-                                  ///< that this entry has not heard of yet.
+    std::vector<job_definition> jobs; ///< Jobs that have not ended.
+    std::unordered_map<job_id, job_progress> progress; ///< Progress of these.
+    std::vector<std::pair<job_id, ended_job>> ended;   ///< Ended jobs.
+    /// Jobs with an invalid row, left out of the other members. Their state is
+    /// unknown, so they are neither run nor ended.
+    std::set<job_id> unreadable;
+    /// Agents that have a member row. Each of them may run tasks of the part,
+    /// even if this entry has not connected to it yet.
+    std::set<std::string> agents;
 };
 
-/// Reads a part after it was claimed, page by page, and who may run something
-/// of it.
-/// @param store Outlives the reads.
-/// @param part Which part.
-/// @param done Told what it holds, or nothing where the store did not answer.
+/// Reads a part's journal and the agents' member rows, page by page. Called
+/// after the part was claimed.
+/// @param store Must outlive the reads.
+/// @param done Receives the contents, or nothing if the store did not answer.
 void load_part(row_store& store, part_number part,
                std::function<void(std::optional<loaded_part>)> done);
 
--- a/src/glenhollow/durable/part_ownership.cpp
+++ b/src/glenhollow/durable/part_ownership.cpp
@@ -16,10 +16,12 @@
 
 constexpr duration flush_timeout = milliseconds{400};
 constexpr std::size_t max_released = 64;
-/// Between two ticks: others take an entry for lost after a second of silence,
-/// so one that stood still for half of that may have lost its parts.
+/// A longer gap between two ticks counts as a suspension of the process. Other
+/// entries consider an entry lost after one second of silence, so it may have
+/// lost its parts after half of that.
 constexpr duration stall_threshold = milliseconds{500};
-/// From its next tick to the others' views: twice the time between exchanges.
+/// Time after a suspension until the other entries' views are up to date: two
+/// exchange intervals.
 constexpr duration view_refresh_time = milliseconds{500};
 
 std::uint64_t rendezvous_weight(part_number part, const std::string& entry)
@@ -89,8 +91,7 @@
 bool part_ownership::is_valid(part_epoch own, const part_state& at) const
 {
     const auto now = dependencies_.clock.now();
-    // Each report of each agent asks: the entries are gone through only where
-    // their word counts.
+    // Called for each agent report, so the peers are only searched if needed.
     if (!at.validity.store_confirmation_expired(now))
         return true;
     return at.validity.is_valid(
@@ -115,9 +116,9 @@
                        { return view->owns(part); });
 }
 
-/// The journal turns the older claim's writes down; but while the store is
-/// down, an owner that was paused would go on answering from its memory.
-/// Whether the newer owner still has the part does not matter.
+/// The journal rejects writes under a superseded claim. While the store is
+/// down, however, an owner that was suspended would keep answering from memory.
+/// It makes no difference whether the newer owner still has the part.
 bool part_ownership::is_superseded(part_epoch own) const
 {
     const auto views = peers_.live();
@@ -148,7 +149,8 @@
     return names;
 }
 
-/// How many others should rather take the part: those with fewer parts first.
+/// Counts the entries that are preferred as the next owner: those with fewer
+/// parts, then those with a lower hash.
 std::size_t part_ownership::rank(part_number part) const
 {
     const auto key = [part](std::size_t owned, const std::string& name) {
@@ -216,9 +218,9 @@
     rebalance();
 }
 
-/// An owner that writes nothing would never hear that its claim has been
-/// followed by another one. While the store is silent, all entries that could
-/// have written one are asked.
+/// An owner that writes nothing would not notice that its claim is superseded,
+/// so it asks the store. While the store is silent, it asks all entries that
+/// could have claimed the part.
 void part_ownership::check_claim(part_number part, part_state& at)
 {
     const auto now = dependencies_.clock.now();
@@ -269,8 +271,8 @@
     lose(own.part);
 }
 
-/// Reads the head first: one that moves between two looks has a living owner
-/// that this entry merely cannot see.
+/// Reads the part's head before a claim. If the head changes between two reads,
+/// the part has a live owner that this entry cannot reach.
 void part_ownership::read_head(part_number part)
 {
     auto& at = parts_[part];
@@ -317,7 +319,8 @@
     at.retry_at = now + settings_.settle_time;
 }
 
-/// Nobody has it, its owner has ended, or has said that it gave it away.
+/// @return Whether the part was never claimed or last claimed by this entry,
+/// its owner's process has ended, or its owner has released it.
 bool part_ownership::is_free(part_number part, const chain_head& head) const
 {
     if (head.version == 0 || head.owner == settings_.entry)
@@ -407,8 +410,8 @@
         dependencies_, part, head, std::move(*rows), std::move(awaited), limits,
         [this, alive = alive_, part]
         {
-            // The chain that tells of its
-            // loss is part of what ends.
+            // Deferred, since the calling
+            // chain is destroyed by lose().
             dependencies_.later(duration{0},
                                 [this, alive, part]
                                 {
@@ -455,7 +458,7 @@
     at.jobs.reset();
     const auto now = dependencies_.clock.now();
     at.unowned_since = now;
-    // The others first.
+    // Other entries get the first chance to claim the part.
     at.retry_at = now + settings_.settle_time * 2;
     last_owner_change_ = now;
     listener_.ownership_ended(part);
--- a/src/glenhollow/durable/part_ownership.hpp
+++ b/src/glenhollow/durable/part_ownership.hpp
@@ -15,115 +15,117 @@
 namespace glenhollow
 {
 
-/// Limits of ownership.
+/// Settings of part ownership.
 struct part_ownership_settings
 {
-    std::string entry;                        ///< Name of this entry.
-    std::uint64_t incarnation = 0;            ///< Of this entry.
-    std::size_t parts = 3;                    ///< Of the journal.
-    duration settle_time = milliseconds{350}; ///< Before a part of an entry
-                                              ///< that may live is taken.
-    duration rank_delay = milliseconds{250}; ///< Between candidates.
-    duration claim_retry_delay =
-        milliseconds{150}; ///< After a claim that failed.
-    duration rebalance_delay =
-        seconds{2};                   ///< Calm before a part is given away.
-    claim_validity_settings validity; ///< For claims.
-    job_coordinator_settings jobs;    ///< Limits of the parts' jobs.
+    std::string entry;             ///< Name of this entry.
+    std::uint64_t incarnation = 0; ///< Incarnation of this entry's process.
+    std::size_t parts = 3;         ///< Number of the journal's parts.
+    /// Time for which the journal of an unreachable owner must not change
+    /// before its part is claimed.
+    duration settle_time = milliseconds{350};
+    /// Additional delay per entry that is preferred as the next owner.
+    duration rank_delay = milliseconds{250};
+    /// Delay after a failed claim.
+    duration claim_retry_delay = milliseconds{150};
+    /// Time without a change of owners before a part is released for balance.
+    duration rebalance_delay = seconds{2};
+    claim_validity_settings validity;
+    job_coordinator_settings jobs;
 };
 
-/// Counters of ownership.
+/// Counters of part ownership.
 struct part_ownership_stats
 {
     std::uint64_t claims = 0;      ///< Claims written.
-    std::uint64_t conflicts = 0;   ///< Claims that met another head.
-    std::uint64_t lost = 0;        ///< Parts that another entry took.
-    std::uint64_t released = 0;    ///< Parts given away.
-    std::uint64_t superseded = 0;  ///< Claims of which the store told that
-                                   ///< another entry's had followed.
-    std::uint64_t unconfirmed = 0; ///< Times that nobody bore a claim out, so
-                                   ///< that its leases were left to end.
+    std::uint64_t conflicts = 0;   ///< Claims rejected for a changed head.
+    std::uint64_t lost = 0;        ///< Parts lost to another entry.
+    std::uint64_t released = 0;    ///< Parts released voluntarily.
+    std::uint64_t superseded = 0;  ///< Claims that the store showed to be
+                                   ///< superseded by another entry's claim.
+    std::uint64_t unconfirmed = 0; ///< Times a claim's confirmations expired,
+                                   ///< which stops the renewal of its leases.
 };
 
-/// Told of this entry's parts.
+/// Receives changes of this entry's parts.
 class part_ownership_listener
 {
 public:
     virtual ~part_ownership_listener() = default;
 
-    /// @param part Owned and loaded from now on.
+    /// Called once a part is claimed and loaded.
     virtual void ownership_acquired(part_epoch part) = 0;
 
-    /// @param part Not owned any more.
+    /// Called after a part was lost or released.
     virtual void ownership_ended(part_number part) = 0;
 
-    /// @return Agents that may run something.
+    /// @return All known agents that may run tasks.
     virtual std::set<std::string> possible_agents() const = 0;
 };
 
-/// Decides which parts this entry owns: takes those without an owner, gives
-/// some away for balance, all before a planned stop or while the store turns
-/// this entry away and serves others. One thread.
+/// Decides which parts of the journal this entry owns. It claims parts without
+/// a live owner and releases parts to balance the load. It releases all parts
+/// before a planned stop, and when the store rejects this entry but serves
+/// others. Not thread-safe.
 class part_ownership final
 {
 public:
-    /// @param around What parts need; outlives it.
-    /// @param peers The other entries; outlive it.
-    /// @param listener Told; outlives it.
-    /// @param settings Limits.
+    /// @param dependencies Collaborators of the parts' coordinators; must
+    /// outlive this object.
+    /// @param peers Links to the other entries; must outlive this object.
+    /// @param listener Must outlive this object.
     part_ownership(job_coordinator::dependencies dependencies,
                    entry_peers& peers, part_ownership_listener& listener,
                    const part_ownership_settings& settings);
     ~part_ownership();
 
+    /// Claims, confirms and releases parts as due.
     /// @param reachable Whether the store answers this entry.
     void tick(bool reachable);
 
-    /// Gives all parts away as soon as their journals are written.
+    /// Starts to release all parts, each once its journal is written.
     void stop();
 
-    /// @param part A part.
-    /// @return Its jobs, or null where this entry does not own it.
+    /// @return The part's coordinator, or null if this entry does not own it.
     job_coordinator* find(part_number part);
 
-    /// @param part A part.
-    /// @return Whether others may have taken it without this entry's knowing,
-    /// so that what it misses may be theirs: its process stood still a moment
-    /// ago, or nobody bears its claim out.
+    /// @return Whether another entry may have claimed the part unnoticed,
+    /// because this process was suspended a moment ago or its claim is not
+    /// confirmed. A job that is unknown here may then exist at the new owner.
     bool may_be_superseded(part_number part) const;
 
-    /// @return All parts that this entry owns and has loaded.
+    /// @return All parts that this entry has claimed and loaded.
     std::vector<part_epoch> owned() const;
 
-    /// @return Of these, those whose claims stood a moment ago: their leases
-    /// may be renewed.
+    /// @return Owned parts with a recently confirmed claim, whose leases may be
+    /// renewed.
     std::vector<part_epoch> renewable() const;
 
-    /// @return Parts that were given away lately.
+    /// @return Parts that were released recently.
     const std::vector<part_epoch>& released() const { return released_; }
 
-    /// @return Jobs of this entry's parts that have not ended.
+    /// @return Number of open jobs in this entry's parts.
     std::size_t open_jobs() const;
 
-    /// @return Counters.
+    /// @return Counters since the start.
     const part_ownership_stats& stats() const { return stats_; }
 
-    /// @param visit Called for each owned part.
+    /// Calls a function for each owned part.
     void for_each(const std::function<void(job_coordinator&)>& visit);
 
 private:
-    /// One part as seen from here.
+    /// State of one part at this entry.
     struct part_state
     {
-        std::unique_ptr<job_coordinator> jobs; ///< While owned and loaded.
-        claim_validity validity;               ///< For its claim.
-        instant claim_sent{};                  ///< When that left.
-        bool was_valid = true;                 ///< For the log.
-        bool claiming = false;   ///< A claim or a load is under way.
-        instant unowned_since{}; ///< No live owner; zero: there is one.
-        instant retry_at{};      ///< Next claim not before.
-        chain_head last_head;    ///< Head at the first look.
-        bool head_read = false;  ///< There was a first look.
+        std::unique_ptr<job_coordinator> jobs; ///< Null unless owned.
+        claim_validity validity;
+        instant claim_sent{};    ///< Send time of the latest claim.
+        bool was_valid = true;   ///< Last state that was logged.
+        bool claiming = false;   ///< A claim or a load is in progress.
+        instant unowned_since{}; ///< Zero while the part has a live owner.
+        instant retry_at{};      ///< Earliest time of the next claim.
+        chain_head last_head;    ///< Head as of the last read.
+        bool head_read = false;  ///< Whether last_head is set.
     };
 
     bool has_live_owner(part_number part) const;
@@ -148,20 +150,21 @@
     void rebalance();
     std::vector<std::string> candidates() const;
 
-    job_coordinator::dependencies dependencies_; ///< What parts need.
-    entry_peers& peers_;                         ///< The other entries.
-    part_ownership_listener& listener_;          ///< Told.
-    part_ownership_settings settings_;           ///< Limits.
-    std::map<part_number, part_state> parts_;    ///< All parts.
-    bool store_reachable_ = true;      ///< The store answers this entry.
-    bool stopping_ = false;            ///< Gives all away.
-    instant stopping_since_{};         ///< When that began.
-    instant last_tick_{};              ///< The last tick.
-    instant resumed_at_{};             ///< First tick after it stood still.
-    instant last_owner_change_{};      ///< Last change of owners.
-    std::vector<part_epoch> released_; ///< Given away lately.
-    part_ownership_stats stats_;       ///< Counters.
-    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true); ///< Guard.
+    job_coordinator::dependencies dependencies_;
+    entry_peers& peers_;
+    part_ownership_listener& listener_;
+    part_ownership_settings settings_;
+    std::map<part_number, part_state> parts_;
+    bool store_reachable_ = true; ///< Whether the store answers this entry.
+    bool stopping_ = false;       ///< Whether all parts are being released.
+    instant stopping_since_{};
+    instant last_tick_{};
+    instant resumed_at_{};             ///< First tick after a suspension.
+    instant last_owner_change_{};      ///< Last time a part changed owners.
+    std::vector<part_epoch> released_; ///< Recently released parts.
+    part_ownership_stats stats_;
+    /// Cleared by the destructor; pending callbacks check it.
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/table_follower.cpp
+++ b/src/glenhollow/durable/table_follower.cpp
@@ -21,15 +21,15 @@
     {
     }
 
-    row_store& store;                              ///< Where rows lie.
-    journal_chain::delay later;                    ///< Runs delayed work.
-    std::string table;                             ///< Kind of row.
-    table_follower_settings settings;              ///< Limits.
-    std::function<void(const stored_row&)> on_row; ///< Told of rows.
-    std::function<void(std::uint64_t)> on_current; ///< Told of versions.
-    std::set<std::string> known_keys;              ///< Keys of rows told.
-    std::set<std::string> seen_keys; ///< Keys in this reading of the table.
-    bool closed = false;             ///< The follower is gone.
+    row_store& store;
+    journal_chain::delay later;
+    std::string table;
+    table_follower_settings settings;
+    std::function<void(const stored_row&)> on_row;
+    std::function<void(std::uint64_t)> on_current;
+    std::set<std::string> known_keys; ///< Keys of rows passed to on_row.
+    std::set<std::string> seen_keys;  ///< Keys found by the current reload.
+    bool closed = false;              ///< Whether the follower was destroyed.
 
     void reload()
     {
@@ -55,7 +55,8 @@
             seen_keys.insert(row.key.key);
             notify(row);
         }
-        // Changes since the first page are not missed.
+        // Follow from the version of the first page, so that changes made
+        // while later pages were read are not missed.
         const auto version = since == 0 ? got.version : since;
         if (got.more && !got.rows.empty())
             return read(got.rows.back().key.key + '0', version);
@@ -73,7 +74,7 @@
         on_row(row);
     }
 
-    /// Rows that were removed while nobody followed.
+    /// Reports rows that were removed while changes were not followed.
     void notify_removed(std::uint64_t version)
     {
         std::vector<std::string> missing;
@@ -116,7 +117,7 @@
                        {{"table", table}});
             return after(settings.min_gap, [](state& self) { self.reload(); });
         case feed_outcome::failed:
-            // Rows may have changed and been forgotten meanwhile.
+            // Changes may have left the store's history in the meantime.
             return after(settings.retry, [](state& self) { self.reload(); });
         }
     }
--- a/tests/unit/durable/claim_validity_tests.cpp
+++ b/tests/unit/durable/claim_validity_tests.cpp
@@ -1,6 +1,5 @@
-// An owner that was cut off from the store and from all other entries went on
-// renewing the leases of its part, while another entry had taken it: see the
-// scenario of cut halls in tests/schedule.
+// Guards against an owner that renews the leases of a part which another entry
+// has taken, because it is cut off from the store and from all other entries.
 #include "glenhollow/durable/claim_validity.hpp"
 #include "glenhollow/durable/job_router.hpp"
 #include "glenhollow/durable/part_ownership.hpp"
@@ -14,7 +13,7 @@
 namespace
 {
 
-/// An entry whose own view is its name alone.
+/// Entry whose view contains only its name.
 struct named_entry : idle_entry, part_ownership_listener
 {
     named_entry() : idle_entry("entry-1") {}
@@ -61,7 +60,7 @@
 
 } // namespace
 
-TEST_CASE("a word counts from the moment at which it was asked for",
+TEST_CASE("a confirmation is valid from the time its request was sent",
           "[claim_evidence]")
 {
     claim_validity validity;
@@ -70,14 +69,14 @@
     CHECK(validity.is_valid(seconds{100} + max_age, {}));
     CHECK_FALSE(
         validity.is_valid(seconds{100} + max_age + milliseconds{1}, {}));
-    // An answer to an earlier question makes it no older.
+    // A late answer to an earlier request does not make it older.
     validity.store_confirmed(seconds{99});
     CHECK(validity.is_valid(seconds{100} + max_age, {}));
     CHECK(validity.is_valid(seconds{105}, seconds{104}));
     CHECK_FALSE(validity.is_valid(seconds{105}, seconds{103}));
 }
 
-TEST_CASE("the store is asked before its last word is too old",
+TEST_CASE("the store is asked again before its confirmation expires",
           "[claim_evidence]")
 {
     claim_validity validity;
@@ -91,7 +90,7 @@
     CHECK(validity.begin_store_check(due + limits.check_interval));
 }
 
-TEST_CASE("an owner that writes nothing renews while the store bears it out",
+TEST_CASE("an idle owner renews leases while the store confirms its claim",
           "[claim_evidence]")
 {
     owner_fixture fixture;
@@ -102,8 +101,8 @@
     }
 }
 
-TEST_CASE("an owner without a word of the store, and of an entry that may have "
-          "taken the part, renews nothing",
+TEST_CASE("an owner renews no leases while neither the store nor an entry that "
+          "may have taken the part confirms its claim",
           "[claim_evidence]")
 {
     owner_fixture fixture;
@@ -112,7 +111,7 @@
     CHECK(fixture.renews());
     fixture.store.down = true;
     fixture.run(milliseconds{700});
-    // The longest that a word is old when the store falls silent.
+    // The greatest age of a confirmation at the time the store goes down.
     fixture.run(milliseconds{1000});
     CHECK_FALSE(fixture.renews());
     CHECK(fixture.ownership->stats().unconfirmed == 1);
@@ -122,12 +121,9 @@
     CHECK(fixture.renews());
 }
 
-// Callers were told 410 for jobs that they had handed in three seconds before
-// and more: they asked an owner that was cut off, while another entry had taken
-// its part and accepted the job. Evidence: real programs, plan owner_cut_off,
-// seeds 5201 and 5202: 3 and 14 such answers before the mend, all while the cut
-// lasted.
-TEST_CASE("an owner that nobody bears out does not deny a job",
+// Guards against callers who are told that their job does not exist, because a
+// cut-off owner answers while another entry has taken the part and has the job.
+TEST_CASE("an owner with an unconfirmed claim does not deny a job",
           "[claim_evidence]")
 {
     owner_fixture fixture;
@@ -151,8 +147,9 @@
     CHECK(ask() == job_outcome::missing);
 }
 
-TEST_CASE("while the store is silent, an owner without others goes on",
-          "[claim_evidence]")
+TEST_CASE(
+    "an owner without other entries keeps renewing while the store is down",
+    "[claim_evidence]")
 {
     owner_fixture fixture;
     fixture.store.down = true;
@@ -160,8 +157,7 @@
     CHECK(fixture.renews());
 }
 
-TEST_CASE("an entry that had been silent for long is not waited for",
-          "[claim_evidence]")
+TEST_CASE("a long-silent entry need not confirm a claim", "[claim_evidence]")
 {
     owner_fixture fixture;
     fixture.peers.add("entry-2", {"127.0.0.1", 1});
@@ -171,8 +167,7 @@
     CHECK(fixture.renews());
 }
 
-TEST_CASE("an owner whose claim was followed by another one learns it of the "
-          "store",
+TEST_CASE("an owner learns from the store that its claim is superseded",
           "[claim_evidence]")
 {
     owner_fixture fixture;
@@ -187,7 +182,7 @@
     CHECK(fixture.ownership->stats().superseded == 1);
 }
 
-TEST_CASE("a machine that is suspended has no fresh word when it wakes",
+TEST_CASE("a claim is not confirmed when a suspended process resumes",
           "[claim_evidence]")
 {
     owner_fixture fixture;
@@ -195,7 +190,7 @@
     fixture.run(milliseconds{200});
     REQUIRE(fixture.renews());
     fixture.loop.clock.suspend(seconds{2});
-    // What agents have sent meanwhile is read before any timer fires.
+    // Messages that agents sent in the meantime are read before timers fire.
     CHECK_FALSE(fixture.renews());
     fixture.run(milliseconds{200});
     CHECK(fixture.renews());
--- a/tests/unit/durable/configuration_tracker_tests.cpp
+++ b/tests/unit/durable/configuration_tracker_tests.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// Reads "VERSION SLICES", one slice a step; anything else has a fault.
+/// Parses "VERSION SLICES", one slice per step; any other text is invalid.
 class sliced_reading final : public catalog_reader
 {
 public:
@@ -37,10 +37,10 @@
     std::size_t left_ = 0;
 };
 
-/// A keeper whose surroundings the test plays.
+/// Tracker whose dependencies are controlled by the test.
 struct tracker_fixture
 {
-    /// Runs what is ready, once each.
+    /// Runs the work that is ready, without work that it adds.
     void round()
     {
         auto ready = std::exchange(later, {});
@@ -78,7 +78,7 @@
 
 } // namespace
 
-TEST_CASE("a configuration is read in slices, each after what is ready")
+TEST_CASE("a configuration is parsed in slices, each after other ready work")
 {
     tracker_fixture fixture;
     fixture.tracker.offer_from_store("7 20");
@@ -93,7 +93,7 @@
     CHECK(fixture.tracker.document() == "7 20");
 }
 
-TEST_CASE("slices that wait too long are read at once")
+TEST_CASE("slices that wait too long are parsed in one go")
 {
     tracker_fixture fixture;
     fixture.tracker.offer_from_store("7 20");
@@ -104,12 +104,13 @@
     CHECK(fixture.tracker.catalog().version == 7);
 }
 
-TEST_CASE("a known document is not read again, whoever brings it")
+TEST_CASE("a known document is not parsed again, whatever its source")
 {
     tracker_fixture fixture;
     fixture.tracker.offer_from_store("7 5");
     fixture.round();
-    fixture.tracker.offer_from_store("7 5"); // While it is being read.
+    // The same document is being parsed.
+    fixture.tracker.offer_from_store("7 5");
     fixture.settle();
     fixture.tracker.offer_from_store("7 5");
     fixture.tracker.offer_from_store("broken");
@@ -122,7 +123,7 @@
     CHECK(fixture.tracker.catalog().version == 7);
 }
 
-TEST_CASE("only a higher version replaces the one in force")
+TEST_CASE("only a higher version replaces the configuration in force")
 {
     tracker_fixture fixture;
     fixture.tracker.offer_from_store("7 5");
@@ -132,7 +133,7 @@
     CHECK(fixture.tracker.catalog().version == 7);
     CHECK(fixture.tracker.stats().stale == 1);
     CHECK(fixture.applied == 1);
-    // Quick successors: the one in the middle need not be read.
+    // A queued version is replaced by a later one without being parsed.
     fixture.tracker.offer_from_store("8 5");
     fixture.tracker.offer_from_store("9 5");
     fixture.tracker.offer_from_store("10 5");
@@ -141,7 +142,7 @@
     CHECK(fixture.readings == 4);
 }
 
-TEST_CASE("the store is given time to bring what a peer has")
+TEST_CASE("the store gets time to deliver a version that a peer has")
 {
     tracker_fixture fixture;
     fixture.tracker.offer_from_store("7 5");
@@ -157,7 +158,7 @@
     CHECK(fixture.fetches.empty());
 }
 
-TEST_CASE("an entry that the store does not serve asks one peer at a time")
+TEST_CASE("an entry asks one peer at a time while the store is unreachable")
 {
     tracker_fixture fixture;
     for (const auto* peer : {"b", "c", "d"})
@@ -165,7 +166,7 @@
     fixture.tracker.tick(false);
     fixture.tracker.tick(false);
     REQUIRE(fixture.fetches.size() == 1);
-    // The first one is silent, the second one has gone, the third one answers.
+    // The first peer is silent, the second one fails, the third one answers.
     fixture.clock.advance(configuration_tracker_settings{}.fetch_timeout);
     fixture.tracker.tick(false);
     REQUIRE(fixture.fetches.size() == 2);
@@ -176,13 +177,13 @@
     fixture.fetches[2].second(configuration_copy{8, "8 5"});
     fixture.settle();
     CHECK(fixture.tracker.catalog().version == 8);
-    // The silent one after all.
+    // The late answer of the first peer is ignored.
     fixture.fetches[0].second(configuration_copy{8, "8 5"});
     fixture.settle();
     CHECK(fixture.readings == 1);
 }
 
-TEST_CASE("a store that answers but does not bring it is not waited for long")
+TEST_CASE("a peer is asked if the store does not deliver a version in time")
 {
     tracker_fixture fixture;
     fixture.tracker.offer_from_store("7 5");
@@ -193,7 +194,7 @@
     fixture.clock.advance(configuration_tracker_settings{}.store_grace);
     fixture.tracker.tick(true);
     REQUIRE(fixture.fetches.size() == 1);
-    // Both bring it at the same time: one reading.
+    // Both deliver the version at the same time; it is parsed once.
     fixture.tracker.offer_from_store("8 5");
     fixture.fetches[0].second(configuration_copy{8, "8 5"});
     fixture.settle();
@@ -201,7 +202,7 @@
     CHECK(fixture.applied == 2);
 }
 
-TEST_CASE("an entry with nothing in force asks a peer at once, and only one")
+TEST_CASE("an entry without a configuration asks one peer immediately")
 {
     tracker_fixture fixture;
     fixture.tracker.peer_has_version("b", 8);
@@ -215,7 +216,7 @@
     CHECK(fixture.tracker.catalog().version == 8);
 }
 
-TEST_CASE("the store's word is not lost behind a copy that waits")
+TEST_CASE("a document from the store replaces a waiting copy")
 {
     tracker_fixture fixture;
     fixture.tracker.peer_has_version("b", 9);
--- a/tests/unit/durable/member_directory_tests.cpp
+++ b/tests/unit/durable/member_directory_tests.cpp
@@ -1,4 +1,4 @@
-// Rows of the system's processes.
+// Member rows of the deployment's processes.
 #include "glenhollow/durable/member_directory.hpp"
 #include "unit/support/fake_row_store.hpp"
 
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// An agent's row in a store, and processes that write it.
+/// A store, and processes of one agent that write its row.
 struct member_fixture
 {
     void begin()
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("the next process of a member is told the memo of the last one")
+TEST_CASE("a member's next process gets the memo of its previous one")
 {
     member_fixture fixture;
     fixture.begin();
@@ -58,13 +58,13 @@
     CHECK(fixture.memos == std::vector<std::string>{"life-1"});
     CHECK(fixture.row().memo == "life-1");
     CHECK(fixture.row().where.port == 7000);
-    // What is there already is not written again.
+    // An unchanged memo is not written again.
     fixture.announcer->keep("life-1");
     fixture.loop.advance(seconds{3});
     CHECK(fixture.store.transactions.size() == writes);
 }
 
-TEST_CASE("memos that change all the time are written rarely")
+TEST_CASE("memos that change often are written rarely")
 {
     member_fixture fixture;
     fixture.begin();
@@ -79,7 +79,7 @@
     CHECK(fixture.store.transactions.size() - writes <= 3);
 }
 
-TEST_CASE("a memo is written though the store is down at first")
+TEST_CASE("a memo is written after the store was down")
 {
     member_fixture fixture;
     fixture.begin();
--- a/tests/unit/durable/part_ownership_tests.cpp
+++ b/tests/unit/durable/part_ownership_tests.cpp
@@ -1,15 +1,6 @@
-// Kept tasks ran a second time after they were done. An entry had begun anew
-// while the store was away; as soon as the store answered, it took a part that
-// nobody owned any more, before it had read who the members are. It knew of no
-// agent that might run something of the part, waited for none, and had all that
-// was not journalled begin at once. One agent stood still then, and told the
-// ends of two of these tasks a moment later.
-//
-// Proof: real programs, soak of the small shape, seed 9: `entry_started`, the
-// store answers, `part_owned`, and the tasks' second runs begin before the line
-// `account_told` of the agent that had their ends.
-//
-// Cause: an owner took the agents that it knew for all that there are.
+// Guards against tasks that run twice because an entry takes a part before it
+// has read the member rows: it must wait for the leases of all agents that have
+// a row, not only of those that it knows.
 #include "glenhollow/durable/member_directory.hpp"
 #include "glenhollow/durable/part_ownership.hpp"
 #include "unit/durable/coordinator_fixture.hpp"
@@ -22,7 +13,7 @@
 namespace
 {
 
-/// An entry that has not heard of any member.
+/// Entry that has not read any member row.
 struct restarted_entry : idle_entry, part_ownership_listener
 {
     restarted_entry() : idle_entry("") {}
@@ -34,7 +25,7 @@
     part_epoch gained;
 };
 
-/// Its part, and the agents that work for whoever owns it.
+/// A part that the entry takes over, and the agents that may run its tasks.
 struct takeover_fixture : coordinator_fixture
 {
     takeover_fixture()
@@ -82,7 +73,7 @@
 
 } // namespace
 
-TEST_CASE("an entry that has read no members waits for all agents of a part",
+TEST_CASE("an entry without member rows waits for all agents of a part",
           "[unread_members]")
 {
     takeover_fixture fixture;
@@ -92,7 +83,7 @@
     fixture.run(seconds{2});
     REQUIRE(fixture.ownership->find(0) != nullptr);
     CHECK(fixture.started.empty());
-    // One has an end that nobody has journalled.
+    // One agent has a run end that is not journalled.
     lease_account account;
     account.ends.push_back(
         {{{7, 0, 0, 0}, 1}, run_outcome::done, 1, 1000, true});
@@ -103,8 +94,7 @@
     CHECK(fixture.started.front().second.task == task_ref{7, 0, 0, 1});
 }
 
-TEST_CASE("a part of which nothing is open waits for nobody",
-          "[unread_members]")
+TEST_CASE("a part without open jobs waits for no agent", "[unread_members]")
 {
     takeover_fixture fixture;
     fixture.store.put({std::string(members_table), {}, "agent-1"},
--- a/tests/unit/durable/table_follower_tests.cpp
+++ b/tests/unit/durable/table_follower_tests.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// A follower of one table, with what it was told.
+/// Follower of one table and the rows that it reported.
 struct follower_fixture
 {
     follower_fixture()
@@ -50,24 +50,24 @@
 
 } // namespace
 
-TEST_CASE("rows are told, then the version up to which all were told")
+TEST_CASE("rows are reported before the version up to which they are complete")
 {
     follower_fixture fixture;
     fixture.put("a", "1");
     const auto newest = fixture.put("b", "2");
-    fixture.store.page = 1; // Each row on a page of its own.
+    fixture.store.page = 1; // One row per page.
     fixture.follower->begin();
     fixture.loop.advance(milliseconds{5});
-    CHECK(fixture.current == 0); // More pages are to come.
+    CHECK(fixture.current == 0); // More pages follow.
     fixture.loop.advance(milliseconds{50});
     CHECK(fixture.rows == row_map{{"a", "1"}, {"b", "2"}});
     CHECK(fixture.current == newest);
 }
 
-TEST_CASE("a row that was removed in history that is gone is told as gone")
+TEST_CASE("a row is reported as gone if the history lacks its removal")
 {
-    // An evacuation that ended while the store forgot its history would have
-    // kept a hall without work for good.
+    // Guards against a hall that gets no tasks after the end of its evacuation,
+    // because the store no longer has the removal of the evacuation row.
     follower_fixture fixture;
     fixture.put("evacuate/hall-1", "{}");
     fixture.put("config", "1");
@@ -76,13 +76,13 @@
     REQUIRE(fixture.rows.size() == 2);
     fixture.remove("evacuate/hall-1");
     fixture.store.oldest_version =
-        fixture.put("config", "2");    // All before it is gone.
-    fixture.loop.advance(seconds{45}); // Two long waits.
+        fixture.put("config", "2");    // Older history is gone.
+    fixture.loop.advance(seconds{45}); // Two long polls.
     CHECK(fixture.rows == row_map{{"config", "2"}});
     CHECK(fixture.current == fixture.store.oldest_version);
 }
 
-TEST_CASE("after the store was away the table is read anew")
+TEST_CASE("the table is read again after the store was down")
 {
     follower_fixture fixture;
     fixture.put("a", "1");
--- a/tests/unit/durable/unseen_runs_tests.cpp
+++ b/tests/unit/durable/unseen_runs_tests.cpp
@@ -1,18 +1,6 @@
-// Tasks of one job ran at two backend servers at once. The process of an agent
-// had ended and begun again, while its backend server stood still for some
-// hundred ms, as processes do that share processors. Its entry attached and
-// asked what runs there before the server had answered a first look: the agent
-// told that nothing does. So the entry had all its tasks of that agent begin
-// elsewhere, while the server went on with them under the hold of the process
-// before, to their end.
-//
-// Proof: real programs, an agent killed and its server paused for 300 ms: the
-// agent's line `account_told` says 0 runs and that the server was not seen, its
-// entry's `orders_lost` that they were not listed, the agent's `runs_found`
-// follows; a run from 829.358 to 830.029 s at that server, `done`, taken note
-// of and never stopped; the same task from 829.646 s at another.
-//
-// Cause: what an agent has not seen was told as if it were not there.
+// Guards against a task that runs at two backend servers at once: a restarted
+// agent must not account for a part's runs before its backend server has shown
+// which runs it still has.
 #include "glenhollow/core/run_after.hpp"
 #include "glenhollow/durable/agent_sessions.hpp"
 #include "glenhollow/rpc/rpc_listener.hpp"
@@ -27,7 +15,7 @@
 namespace
 {
 
-/// An entry that keeps the first account it is told.
+/// Entry that keeps the first lease account of each part.
 struct recording_entry : agent_session_listener
 {
     void agent_attached(const std::string&, const runner_report&) override
@@ -85,7 +73,7 @@
     return out;
 }
 
-/// A new process of an agent beside a server that still runs two tasks, and an
+/// Restarted agent beside a backend server that still runs two tasks, and an
 /// entry that attaches.
 struct restarted_agent_fixture
 {
@@ -98,7 +86,8 @@
 
     rpc_listener& links() { return *listener.value(); }
 
-    /// @param step Called each 2 ms of real time; false ends it.
+    /// Runs the event loop.
+    /// @param step Called every 2 ms of real time; returns false to stop.
     void play(std::function<bool()> step)
     {
         std::function<void()> again = [&]
@@ -143,12 +132,12 @@
         rpc_listener::create(loop.io(), "127.0.0.1", 0);
 };
 
-/// Some round trips between two processes of one machine.
+/// Steps that allow for some round trips between two processes of one VM.
 constexpr int enough_steps = 50;
 
 } // namespace
 
-TEST_CASE("an agent tells what runs only once its server has shown it",
+TEST_CASE("an agent accounts for runs once its backend server has shown them",
           "[unseen_runs]")
 {
     restarted_agent_fixture fixture;
@@ -172,8 +161,8 @@
     CHECK(memory.front().run == fixture.in_memory);
 }
 
-TEST_CASE("an agent beside a silent server tells that nothing runs once all "
-          "has lapsed",
+TEST_CASE("an agent beside a silent backend server accounts for no runs once "
+          "all leases have expired",
           "[unseen_runs]")
 {
     restarted_agent_fixture fixture;
@@ -194,11 +183,10 @@
     CHECK(fixture.entry.accounts.at(0).runs.empty());
 }
 
-// The process of an entry before the present one may be heard last: its call to
-// attach was on its way for longer. It takes the session's place, and the live
-// one, which then asked for the part's runs, was answered by an account without
-// any, and had them all begin elsewhere (see the schedule of seed 103337).
-TEST_CASE("an entry whose session another one has replaced is told nothing",
+// Guards against an entry that starts a part's tasks again because it got an
+// empty account: a delayed attach call of the entry's previous process has
+// replaced its session.
+TEST_CASE("an entry with a replaced session gets no empty lease account",
           "[unseen_runs]")
 {
     restarted_agent_fixture fixture;
@@ -209,7 +197,7 @@
                                   stale_entry, stale_settings);
     bool replaced = false;
     int steps = 0;
-    constexpr int max_steps = 2500; // Some 5 s; its silence ends after 1.2.
+    constexpr int max_steps = 2500; // About 5 s; the session times out before.
     fixture.play(
         [&]
         {
--- a/tests/unit/durable/wire_compatibility_tests.cpp
+++ b/tests/unit/durable/wire_compatibility_tests.cpp
@@ -1,5 +1,5 @@
-// Messages of processes of another version, and rows that they left: what is
-// not named here, and numbers that no job has.
+// Messages and rows written by processes of another version: unknown enum
+// values and out-of-range numbers.
 #include "glenhollow/durable/job_wire.hpp"
 #include "glenhollow/durable/placement_wire.hpp"
 #include "glenhollow/durable/queue_catalog.hpp"
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("an end in a manner that is not named here is one that lapsed")
+TEST_CASE("a run end with an unknown outcome is decoded as lapsed")
 {
     capnp::MallocMessageBuilder message;
     auto out = message.initRoot<wire::RunEnd>();
@@ -41,7 +41,7 @@
     CHECK(from_wire(out.asReader()).outcome == run_outcome::lapsed);
 }
 
-TEST_CASE("an answer with a state that is not named here tells nothing")
+TEST_CASE("a reply with an unknown state or outcome is decoded as unknown")
 {
     capnp::MallocMessageBuilder message;
     auto out = message.initRoot<wire::JobAnswer>();
@@ -54,7 +54,7 @@
     CHECK(from_wire(out.asReader()).outcome == job_outcome::unknown);
 }
 
-TEST_CASE("times out of any range are cut to one that can be counted with")
+TEST_CASE("out-of-range times are clamped")
 {
     for (const auto told : {far_past, far_future})
     {
@@ -80,7 +80,7 @@
     }
 }
 
-TEST_CASE("more tasks of one step than a job may have are not wanted")
+TEST_CASE("a placement request with too many tasks in a step is ignored")
 {
     capnp::MallocMessageBuilder message;
     auto want = message.initRoot<wire::PlacementSession::WantParams>();
@@ -91,7 +91,7 @@
     CHECK(read.changes.added.size() == 3);
 }
 
-TEST_CASE("loads that are no amounts are none")
+TEST_CASE("invalid load values are decoded as 0")
 {
     capnp::MallocMessageBuilder message;
     auto out = message.initRoot<wire::PlacementSession::WantResults>();
@@ -106,10 +106,9 @@
     CHECK(read.at("s").waiting_work == 0);
 }
 
-// A job ended as succeeded though its last step had never run: an end named a
-// task past the last one of its step, which counted as the first task of the
-// next step.
-TEST_CASE("an end of a task that its job has not ends no other one")
+// Guards against a job that succeeds although its last step never ran, because
+// a task index past the end of a step counts as a task of the next step.
+TEST_CASE("a run end with an invalid task index ends no other task")
 {
     for (const task_ref& none :
          {task_ref{1, 0, 0, 2}, task_ref{1, 0, 2, 0}, task_ref{1, 1, 1, 0},
@@ -130,10 +129,10 @@
     }
 }
 
-TEST_CASE("a grant for a task that its job has not is not used")
+TEST_CASE("a grant with an invalid task index is not used")
 {
     coordinator_fixture fixture;
-    fixture.drain_all(); // Its tasks wait.
+    fixture.drain_all(); // Tasks stay queued.
     fixture.owner(1);
     fixture.submit(coordinator_fixture::job(1, 2));
     for (const task_ref& none :
@@ -146,7 +145,7 @@
     }
 }
 
-TEST_CASE("a row of a job that nobody could have admitted is not read")
+TEST_CASE("a job row that admission would have refused is rejected")
 {
     const auto good = chain_of_two();
     REQUIRE(decode_definition(encode_definition(good)));
@@ -173,14 +172,14 @@
     CHECK_FALSE(decode_definition(encode_definition(sum)));
 }
 
-TEST_CASE("a row of an end that is none is not read")
+TEST_CASE("an ended job row with a non-final state is rejected")
 {
     CHECK(decode_ended_job(encode_ended_job({job_state::failed, 7})));
     CHECK_FALSE(decode_ended_job(encode_ended_job({job_state::queued, 7})));
     CHECK_FALSE(decode_ended_job(encode_ended_job({job_state::running, 7})));
 }
 
-TEST_CASE("no amount of a resource makes room by its size")
+TEST_CASE("adding resource amounts does not overflow")
 {
     const resources most{0xFFFF'FFFF, 0xFFFF'FFFF, 0xFFFF'FFFF};
     const resources room{8000, 1000, 1};
--- a/tests/unit/support/fake_row_store.hpp
+++ b/tests/unit/support/fake_row_store.hpp
@@ -12,7 +12,7 @@
 namespace glenhollow
 {
 
-/// The store's rules in memory, with faults.
+/// In-memory row store with fault injection.
 class fake_row_store final : public row_store
 {
 public:
@@ -80,7 +80,7 @@
                       [end, done = std::move(done)] { done(end); });
     }
 
-    /// Does what was held back.
+    /// Applies the commits that were held back.
     std::vector<commit_result> release_held()
     {
         std::vector<commit_result> ends;
@@ -99,7 +99,8 @@
         return known->second;
     }
 
-    /// Writes a row as somebody else would.
+    /// Writes a row as another process would.
+    /// @return The new version.
     std::uint64_t put(const row_key& key, const std::string& value)
     {
         ++version_;
@@ -107,14 +108,14 @@
         return version_;
     }
 
-    bool down = false;                ///< Turns calls away.
-    bool hold_commits = false;        ///< Holds commits back, unanswered.
-    int lose_answers = 0;             ///< So many done commits go unanswered.
-    std::uint64_t oldest_version = 0; ///< History before it is gone.
-    std::size_t page = 500;           ///< Rows of one read.
-    duration answer_time = milliseconds{5};    ///< Of each call.
-    std::vector<row_transaction> transactions; ///< All that came.
-    std::vector<row_transaction> held_commits; ///< Held back.
+    bool down = false;         ///< Whether calls fail.
+    bool hold_commits = false; ///< Holds commits back, unanswered.
+    int lose_answers = 0;      ///< Successful commits to leave unanswered.
+    std::uint64_t oldest_version = 0;          ///< Start of the history.
+    std::size_t page = 500;                    ///< Maximum rows per read.
+    duration answer_time = milliseconds{5};    ///< Latency of each call.
+    std::vector<row_transaction> transactions; ///< All commits received.
+    std::vector<row_transaction> held_commits; ///< Commits held back.
 
 private:
     using row_name = std::tuple<std::string, std::string, std::string>;
@@ -151,9 +152,9 @@
         return end;
     }
 
-    manual_loop& loop_;                   ///< Time.
-    std::map<row_name, stored_row> rows_; ///< All rows.
-    std::uint64_t version_ = 0;           ///< Counts transactions.
+    manual_loop& loop_;
+    std::map<row_name, stored_row> rows_;
+    std::uint64_t version_ = 0; ///< Number of transactions.
 };
 
 } // namespace glenhollow
--- a/tests/unit/support/idle_entry.hpp
+++ b/tests/unit/support/idle_entry.hpp
@@ -9,7 +9,7 @@
 namespace glenhollow
 {
 
-/// An entry that tells others its name alone and serves nothing.
+/// Entry that announces only its name and serves nothing.
 struct idle_entry : entry_peer_handler
 {
     explicit idle_entry(std::string name) : name_(std::move(name)) {}
@@ -30,7 +30,7 @@
     }
 
 private:
-    std::string name_; ///< As it tells it.
+    std::string name_;
 };
 
 } // namespace glenhollow
--- a/tests/unit/support/manual_loop.hpp
+++ b/tests/unit/support/manual_loop.hpp
@@ -10,18 +10,18 @@
 namespace glenhollow
 {
 
-/// Delayed work and a clock, moved by hand.
+/// Clock and delayed work that the test advances.
 class manual_loop
 {
 public:
-    /// @return Runs a function after a while of the manual clock.
+    /// @return A function that schedules work by the manual clock.
     std::function<void(duration, std::function<void()>)> delay()
     {
         return [this](duration wait, std::function<void()> work)
         { work_.emplace(clock.now() + wait, std::move(work)); };
     }
 
-    /// Moves the clock and runs what falls due, in order.
+    /// Advances the clock and runs the work that becomes due, in order.
     void advance(duration by)
     {
         const auto end = clock.now() + by;
@@ -35,10 +35,10 @@
         clock.advance(end - clock.now());
     }
 
-    manual_clock clock; ///< Of the code under test.
+    manual_clock clock; ///< Clock for the code under test.
 
 private:
-    std::multimap<instant, std::function<void()>> work_; ///< By time.
+    std::multimap<instant, std::function<void()>> work_; ///< Work by time.
 };
 
 } // namespace glenhollow
