--- a/programs/durable_agent.cpp
+++ b/programs/durable_agent.cpp
@@ -5,7 +5,7 @@
 #include "glenhollow/durable/member_directory.hpp"
 #include "glenhollow/rpc/rpc_listener.hpp"
 #include "glenhollow/rpc/rpc_loop.hpp"
-#include "glenhollow/runs/runner_memo.hpp"
+#include "glenhollow/runs/server_account_json.hpp"
 #include "glenhollow/telemetry/log.hpp"
 #include "glenhollow/telemetry/stall_watch.hpp"
 #include "platform/runner_registration.hpp"
@@ -89,8 +89,8 @@
                 service_ = std::make_unique<run_agent_service>(
                     loop_.io(), process_clock(), manager_, random_incarnation(),
                     settings_.service);
-                service_->host_jobs_by([this](const std::string& entry)
-                                       { return open_host(entry); });
+                service_->set_job_host_factory([this](const std::string& entry)
+                                               { return open_host(entry); });
                 links_->serve(service_->bootstrap());
                 announcer_.begin([this](const std::string& memo)
                                  { take_memo(memo); });
@@ -162,9 +162,9 @@
 
     void take_memo(const std::string& memo)
     {
-        const auto account = decode_runner_memo(memo);
+        const auto account = decode_server_account(memo);
         if (account)
-            return manager_.remembered(account.value());
+            return manager_.restored(account.value());
         log_change(log_level::error, "memo_unreadable",
                    {{"cause", account.error().text}});
     }
@@ -174,14 +174,15 @@
     {
         if (stopping_)
             return; // Its phase is this process's own by now.
-        const auto phase = manager_.told_phase();
-        const auto life = manager_.account().life();
-        if (life.empty() || (life == kept_.life() && phase == kept_.phase))
+        const auto phase = manager_.reported_phase();
+        const auto incarnation = manager_.account().incarnation();
+        if (incarnation.empty() ||
+            (incarnation == kept_.incarnation() && phase == kept_.phase))
             return;
         auto account = manager_.account();
         account.phase = phase;
         kept_ = account;
-        announcer_.keep(encode_runner_memo(account));
+        announcer_.keep(encode_server_account(account));
     }
 
     void serve_page(const http_request& request, const http_responder& done)
@@ -266,7 +267,7 @@
     platform::runner_registration registration_;   ///< Its accounts.
     member_announcer announcer_;                   ///< Its row.
     stall_watch stalls_{{tick_interval}};          ///< Of this process.
-    runner_account kept_;                          ///< Last in its row's memo.
+    server_account kept_;                          ///< Last in its row's memo.
     std::unique_ptr<run_agent_service> service_;   ///< For entries.
     std::unique_ptr<job_host> host_;               ///< Of jobs of entries.
     std::unique_ptr<job_host_server> host_server_; ///< Their sessions.
--- a/programs/durable_agent_main.cpp
+++ b/programs/durable_agent_main.cpp
@@ -66,7 +66,7 @@
     // Entries take it that a run of a lost agent has lapsed after times that
     // are made for this hold.
     settings.manager.hold =
-        std::min<duration>(milliseconds{given.hold_ms}, longest_hold);
+        std::min<duration>(milliseconds{given.hold_ms}, max_hold);
     auto margins = default_lease_timing();
     margins.hold = settings.manager.hold;
     margins.memory_lease = settings.manager.memory_lease;
--- a/src/glenhollow/durable/agent_sessions.cpp
+++ b/src/glenhollow/durable/agent_sessions.cpp
@@ -141,7 +141,7 @@
 }
 
 void agent_sessions::attached(session& to, wire::RunSession::Client opened,
-                              const runner_report& report)
+                              const server_report& report)
 {
     to.orders = kj::mv(opened);
     to.attached = true;
--- a/src/glenhollow/durable/agent_sessions.hpp
+++ b/src/glenhollow/durable/agent_sessions.hpp
@@ -35,7 +35,7 @@
     /// Called when a session has opened.
     /// @param report The state that the agent reported.
     virtual void agent_attached(const std::string& agent,
-                                const runner_report& report) = 0;
+                                const server_report& report) = 0;
 
     /// Called when a session has ended.
     virtual void agent_detached(const std::string& agent) = 0;
@@ -54,7 +54,7 @@
     /// @param ends The runs that ended.
     /// @param begun The runs that began.
     virtual void agent_reported(const std::string& agent,
-                                const runner_report& report,
+                                const server_report& report,
                                 const std::vector<run_end>& ends,
                                 const std::vector<run_ref>& begun) = 0;
 
@@ -169,7 +169,7 @@
 
     void connected(const std::string& agent, wire::RunAgent::Client interface);
     void attached(session& to, wire::RunSession::Client opened,
-                  const runner_report& report);
+                  const server_report& report);
     void disconnected(const std::string& agent);
     void adopt_at(session& at, part_epoch part);
     bool is_account_complete(session& by);
--- a/src/glenhollow/durable/agent_view.cpp
+++ b/src/glenhollow/durable/agent_view.cpp
@@ -14,10 +14,10 @@
 
 } // namespace
 
-void agent_view::attached(const runner_report& report)
+void agent_view::attached(const server_report& report)
 {
     linked_ = true;
-    if (report.account.life() != report_.account.life())
+    if (report.account.incarnation() != report_.account.incarnation())
         pace_ = 1.0; // The new backend server may be of another kind.
     report_ = report;
     in_flight_.clear();
@@ -40,16 +40,16 @@
     pending_ = {};
 }
 
-void agent_view::reported(const runner_report& report)
+void agent_view::reported(const server_report& report)
 {
     auto account = std::move(report_.account);
     report_ = report;
-    if (!report.whole)
+    if (!report.has_account)
     {
         account.phase = report.account.phase;
         report_.account = std::move(account);
     }
-    else if (account.life() != report.account.life())
+    else if (account.incarnation() != report.account.incarnation())
     {
         pace_ = 1.0;
     }
@@ -101,7 +101,7 @@
 
 resources agent_view::used() const
 {
-    auto total = report_.room.used;
+    auto total = report_.load.used;
     total.add(pending_);
     return total;
 }
--- a/src/glenhollow/durable/agent_view.hpp
+++ b/src/glenhollow/durable/agent_view.hpp
@@ -48,13 +48,13 @@
 
     /// Starts a session.
     /// @param report The state that the agent reported.
-    void attached(const runner_report& report);
+    void attached(const server_report& report);
 
     /// Ends the session.
     void detached();
 
     /// Takes over a report.
-    void reported(const runner_report& report);
+    void reported(const server_report& report);
 
     /// @param until The time until which the backend server is slow after its
     /// start.
@@ -95,7 +95,7 @@
     bool linked() const { return linked_; }
 
     /// @return The description of the backend server.
-    const runner_account& account() const { return report_.account; }
+    const server_account& account() const { return report_.account; }
 
     /// @return The resources in use: those that the agent reported and those of
     /// orders and grants that it has not yet seen.
@@ -140,14 +140,14 @@
     /// entry's runs.
     double pace() const
     {
-        return report_.room.pace > 0 ? report_.room.pace : pace_;
+        return report_.load.pace > 0 ? report_.load.pace : pace_;
     }
 
     /// @return Whether the backend server is still slow after its start.
     bool cold(instant now) const { return now < cold_until_; }
 
     /// @return Whether the backend server has announced that it leaves.
-    bool leaving() const { return report_.room.leaves_in.has_value(); }
+    bool leaving() const { return report_.load.leaves_in.has_value(); }
 
     std::set<part_number> adopted; ///< Parts that the agent has adopted.
     order_batch outbox;            ///< Orders to send with the next flush.
@@ -173,7 +173,7 @@
     std::string name_;
     std::uint64_t tie_breaker_; ///< Order among agents of equal rank.
     bool linked_ = false;
-    runner_report report_;                  ///< The latest report.
+    server_report report_;                  ///< The latest report.
     std::deque<in_flight_batch> in_flight_; ///< Batches not yet acknowledged.
     resources reserved_; ///< Resources of starts in the outbox.
     resources pending_;  ///< Sum of the resources in the outbox, in flight and
--- a/src/glenhollow/durable/dispatcher.cpp
+++ b/src/glenhollow/durable/dispatcher.cpp
@@ -39,7 +39,7 @@
 {
 }
 
-void dispatcher::attached(const std::string& agent, const runner_report& report)
+void dispatcher::attached(const std::string& agent, const server_report& report)
 {
     const auto [known, is_new] =
         agents_.try_emplace(agent, agent, tie_breakers_());
@@ -49,7 +49,7 @@
         update_own_agents();
     }
     known->second.attached(report);
-    known->second.set_cold_until(clock_.now() + report.room.cold);
+    known->second.set_cold_until(clock_.now() + report.load.cold);
 }
 
 /// Updates the agents at which this entry places tasks, so that placing a task
@@ -102,7 +102,7 @@
         agent.adopted.erase(part);
 }
 
-void dispatcher::reported(const std::string& agent, const runner_report& report)
+void dispatcher::reported(const std::string& agent, const server_report& report)
 {
     const auto known = agents_.find(agent);
     if (known == agents_.end() || !known->second.linked())
@@ -110,7 +110,7 @@
     record_grant_delay(known->second, report.granted);
     const bool was_leaving = known->second.leaving();
     known->second.reported(report);
-    known->second.set_cold_until(clock_.now() + report.room.cold);
+    known->second.set_cold_until(clock_.now() + report.load.cold);
     if (known->second.leaving() && !was_leaving)
         ++stats_.leaving;
 }
@@ -268,7 +268,7 @@
     const bool reachable = task.entry == 0
                                ? agent.adopted.contains(task.part)
                                : !agent.blocked(task.entry, clock_.now());
-    return agent.linked() && account.phase == runner_phase::ready &&
+    return agent.linked() && account.phase == server_phase::ready &&
            account.service == task.service && reachable &&
            agent.has_label(task.label);
 }
@@ -395,7 +395,7 @@
     for (const auto& [name, agent] : agents_)
     {
         // A server that takes no work has no room to keep free.
-        if (!agent.in_own_group || agent.account().phase != runner_phase::ready)
+        if (!agent.in_own_group || agent.account().phase != server_phase::ready)
             continue;
         for (const auto& label : agent.account().labels)
             cores[label] += agent.cores();
@@ -563,7 +563,7 @@
 {
     return agent.in_own_group && agent.linked() &&
            agent.account().service == service &&
-           agent.account().phase == runner_phase::ready &&
+           agent.account().phase == server_phase::ready &&
            !agent.ejected(clock_.now());
 }
 
--- a/src/glenhollow/durable/dispatcher.hpp
+++ b/src/glenhollow/durable/dispatcher.hpp
@@ -190,7 +190,7 @@
 
     /// Handles the start of a session with an agent.
     /// @param report The state that the agent reported.
-    void attached(const std::string& agent, const runner_report& report);
+    void attached(const std::string& agent, const server_report& report);
 
     /// Handles the end of a session with an agent.
     void detached(const std::string& agent);
@@ -205,7 +205,7 @@
     void release(part_number part);
 
     /// Takes over a report of an agent.
-    void reported(const std::string& agent, const runner_report& report);
+    void reported(const std::string& agent, const server_report& report);
 
     /// Records the end of a run.
     /// @param agent The agent at which the run ended.
--- a/src/glenhollow/durable/durable_service.cpp
+++ b/src/glenhollow/durable/durable_service.cpp
@@ -259,7 +259,7 @@
     for (const auto& [name, agent] : dispatcher_.agents())
     {
         linked += agent.linked() ? 1 : 0;
-        if (!agent.linked() || agent.account().phase != runner_phase::ready)
+        if (!agent.linked() || agent.account().phase != server_phase::ready)
             continue;
         ++ready;
         ejected += agent.ejected(now) ? 1 : 0;
@@ -402,7 +402,7 @@
 // Agents.
 
 void durable_service::agent_attached(const std::string& agent,
-                                     const runner_report& report)
+                                     const server_report& report)
 {
     dispatcher_.attached(agent, report);
     agent_silence_[agent] = {clock_.now(), false, false};
@@ -441,7 +441,7 @@
 }
 
 void durable_service::agent_reported(const std::string& agent,
-                                     const runner_report& report,
+                                     const server_report& report,
                                      const std::vector<run_end>& ends,
                                      const std::vector<run_ref>& begun)
 {
--- a/src/glenhollow/durable/job_coordinator_ends.cpp
+++ b/src/glenhollow/durable/job_coordinator_ends.cpp
@@ -32,7 +32,7 @@
                                            const listed_run& run)
 {
     const auto known = jobs_.find(run.run.task.job);
-    if (known == jobs_.end() && !chain_ && !run.sized)
+    if (known == jobs_.end() && !chain_ && !run.are_needs_known)
         return; // The run may belong to another entry.
     if (known == jobs_.end() || known->second.pending_end_state)
         return dependencies_.task_dispatcher.stop(agent, run.run);
@@ -56,7 +56,7 @@
     }
     if (run.phase != run_phase::waiting)
         record.started = true;
-    if (!run.sized)
+    if (!run.are_needs_known)
         dependencies_.task_dispatcher.size(
             agent, order_of(record, task_index, run.run));
 }
--- a/src/glenhollow/durable/lease_timing.cpp
+++ b/src/glenhollow/durable/lease_timing.cpp
@@ -21,9 +21,9 @@
 
 /// An agent waits this long before it treats a hold as expired; a slower clock
 /// must not need longer.
-static_assert(manager_timing::with_drift(longest_hold) +
-                  manager_timing::lapse_slack >
-              max_on_other_clock(longest_hold));
+static_assert(manager_timing::with_drift(max_hold) +
+                  manager_timing::lapse_margin >
+              max_on_other_clock(max_hold));
 
 /// A duration that must end before a bound.
 struct timing_bound
--- a/src/glenhollow/hosting/job_host.cpp
+++ b/src/glenhollow/hosting/job_host.cpp
@@ -291,7 +291,7 @@
 }
 
 void job_host::agent_attached(const std::string& agent,
-                              const runner_report& report)
+                              const server_report& report)
 {
     dispatcher_.attached(agent, report);
     silences_[agent] = {clock_.now(), false};
@@ -322,7 +322,7 @@
 }
 
 void job_host::agent_reported(const std::string& agent,
-                              const runner_report& report,
+                              const server_report& report,
                               const std::vector<run_end>& ends,
                               const std::vector<run_ref>& begun)
 {
--- a/src/glenhollow/hosting/job_host.hpp
+++ b/src/glenhollow/hosting/job_host.hpp
@@ -113,12 +113,12 @@
 
 private:
     void agent_attached(const std::string& agent,
-                        const runner_report& report) override;
+                        const server_report& report) override;
     void agent_detached(const std::string& agent) override;
     void agent_ordered(const std::string& agent) override;
     void agent_adopted(const std::string& agent, part_epoch part,
                        const lease_account& account) override;
-    void agent_reported(const std::string& agent, const runner_report& report,
+    void agent_reported(const std::string& agent, const server_report& report,
                         const std::vector<run_end>& ends,
                         const std::vector<run_ref>& begun) override;
     std::vector<run_end> take_confirmed(const std::string& agent) override
--- a/src/glenhollow/runs/runner_port.hpp
+++ b/src/glenhollow/runs/backend_server_client.hpp
@@ -1,5 +1,5 @@
-#ifndef GLENHOLLOW_RUNS_RUNNER_PORT_HPP
-#define GLENHOLLOW_RUNS_RUNNER_PORT_HPP
+#ifndef GLENHOLLOW_RUNS_BACKEND_SERVER_CLIENT_HPP
+#define GLENHOLLOW_RUNS_BACKEND_SERVER_CLIENT_HPP
 
 #include "glenhollow/core/clock.hpp"
 #include "glenhollow/core/names.hpp"
@@ -16,16 +16,16 @@
 /// How an order to the runner ended.
 enum class order_outcome : std::uint8_t
 {
-    done,       ///< The runner took it.
-    fenced,     ///< The fencing token was too low.
-    superseded, ///< That run has ended or was stopped there.
-    late,       ///< It arrived after its deadline.
-    no_room,    ///< The runner guards its room.
-    unhealthy,  ///< The runner did nothing and will take orders later.
-    wrong_life, ///< Another life is there, or none that said which it is;
-                ///< nothing was done.
-    malformed,  ///< The runner did nothing and never will.
-    unanswered  ///< It may be done, now or later.
+    done,              ///< The runner took it.
+    fenced,            ///< The fencing token was too low.
+    superseded,        ///< That run has ended or was stopped there.
+    late,              ///< It arrived after its deadline.
+    no_room,           ///< The runner guards its room.
+    unhealthy,         ///< The runner did nothing and will take orders later.
+    wrong_incarnation, ///< Another life is there, or none that said which it
+                       ///< is; nothing was done.
+    malformed, ///< The runner did nothing and never will.
+    unanswered ///< It may be done, now or later.
 };
 
 template <>
@@ -57,7 +57,7 @@
 };
 
 /// A run as the runner shows it.
-struct shown_run
+struct server_run
 {
     run_ref run;               ///< Which run.
     std::uint32_t percent = 0; ///< Of its work.
@@ -84,9 +84,9 @@
     std::int64_t clock_ms = 0;                         ///< The runner's clock.
     std::uint64_t link = 0; ///< Connection by which it came; 0: none.
     bool reached = true; ///< False: there was no connection, nothing was sent.
-    std::int64_t born_ms = 0;       ///< When this life started; 0: not told.
-    std::vector<shown_run> running; ///< All that runs.
-    std::vector<run_end> finished;  ///< Ends not yet confirmed.
+    std::int64_t born_ms = 0;        ///< When this life started; 0: not told.
+    std::vector<server_run> running; ///< All that runs.
+    std::vector<run_end> finished;   ///< Ends not yet confirmed.
 };
 
 /// A start of a run.
@@ -98,13 +98,13 @@
 
 /// The orders that a runner takes; a fake in tests. Calls end on the thread
 /// that made them, not from inside the call.
-class runner_port
+class backend_server_client
 {
 public:
     using order_handler = std::function<void(order_result)>;
     using hold_handler = std::function<void(hold_result)>;
 
-    virtual ~runner_port() = default;
+    virtual ~backend_server_client() = default;
 
     /// @param start What to run.
     /// @param context Life, fence and deadline.
--- a/src/glenhollow/runs/heartbeat_order.cpp
+++ b/src/glenhollow/runs/heartbeat_order.cpp
@@ -6,31 +6,32 @@
 {
 
 std::optional<std::uint64_t>
-heartbeat_order::overtaken(const server_life& life,
-                           std::uint64_t sequence) const
+heartbeat_order::newer_sequence(const server_incarnation& incarnation,
+                                std::uint64_t sequence) const
 {
-    const auto known =
-        std::find_if(lives_.begin(), lives_.end(),
-                     [&life](const latest& one) { return one.life == life; });
-    if (known == lives_.end() || known->sequence <= sequence)
+    const auto known = std::find_if(entries_.begin(), entries_.end(),
+                                    [&incarnation](const entry& one)
+                                    { return one.incarnation == incarnation; });
+    if (known == entries_.end() || known->sequence <= sequence)
         return std::nullopt;
     return known->sequence;
 }
 
-void heartbeat_order::note(const server_life& life, std::uint64_t sequence)
+void heartbeat_order::record(const server_incarnation& incarnation,
+                             std::uint64_t sequence)
 {
     std::uint64_t highest = sequence;
-    std::erase_if(lives_,
-                  [&](const latest& one)
+    std::erase_if(entries_,
+                  [&](const entry& one)
                   {
-                      if (one.life != life)
+                      if (one.incarnation != incarnation)
                           return false;
                       highest = std::max(highest, one.sequence);
                       return true;
                   });
-    lives_.push_front({life, highest});
-    if (lives_.size() > most_lives)
-        lives_.pop_back();
+    entries_.push_front({incarnation, highest});
+    if (entries_.size() > max_incarnations)
+        entries_.pop_back();
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/heartbeat_order.hpp
+++ b/src/glenhollow/runs/heartbeat_order.hpp
@@ -1,7 +1,7 @@
 #ifndef GLENHOLLOW_RUNS_HEARTBEAT_ORDER_HPP
 #define GLENHOLLOW_RUNS_HEARTBEAT_ORDER_HPP
 
-#include "glenhollow/runs/server_life.hpp"
+#include "glenhollow/runs/server_incarnation.hpp"
 
 #include <cstddef>
 #include <cstdint>
@@ -19,27 +19,28 @@
 public:
     /// Lives that are remembered; one at an address after the other, of which
     /// heartbeats can be on their way.
-    static constexpr std::size_t most_lives = 4;
+    static constexpr std::size_t max_incarnations = 4;
 
     /// @param life Whose heartbeat it is.
     /// @param sequence Its number.
     /// @return The number that has overtaken it; nothing where it is news.
-    std::optional<std::uint64_t> overtaken(const server_life& life,
-                                           std::uint64_t sequence) const;
+    std::optional<std::uint64_t>
+    newer_sequence(const server_incarnation& incarnation,
+                   std::uint64_t sequence) const;
 
     /// @param life Whose heartbeat is used.
     /// @param sequence Its number.
-    void note(const server_life& life, std::uint64_t sequence);
+    void record(const server_incarnation& incarnation, std::uint64_t sequence);
 
 private:
     /// The latest of one life.
-    struct latest
+    struct entry
     {
-        server_life life;           ///< Whose.
-        std::uint64_t sequence = 0; ///< Its number.
+        server_incarnation incarnation; ///< Whose.
+        std::uint64_t sequence = 0;     ///< Its number.
     };
 
-    std::deque<latest> lives_; ///< The one noted last in front.
+    std::deque<entry> entries_; ///< The one noted last in front.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/leaving_server.cpp
+++ b/src/glenhollow/runs/leaving_server.cpp
@@ -9,55 +9,59 @@
 namespace
 {
 
-constexpr double whole = 100.0; // Percent.
+constexpr double full_percent = 100.0; // Percent.
 
-duration share_of(duration time, double share)
+duration scaled(duration time, double share)
 {
     return std::chrono::duration_cast<duration>(time * share);
 }
 
 } // namespace
 
-std::optional<duration> least_time_left(const leaving_run& run, double pace,
-                                        const leaving_settings& settings)
+std::optional<duration> min_time_left(const run_on_leaving_server& run,
+                                      double pace,
+                                      const leaving_settings& settings)
 {
-    duration takes{};
-    if (run.percent >= settings.least_percent)
-        takes = share_of(run.progressed_at,
-                         settings.progress_share * whole / run.percent);
+    duration total{};
+    if (run.percent >= settings.min_percent)
+        total = scaled(run.last_progress, settings.min_progress_share *
+                                              full_percent / run.percent);
     else if (run.expected_ms > 0)
-        takes = share_of(milliseconds{run.expected_ms},
-                         settings.guess_share * pace);
+        total = scaled(milliseconds{run.expected_ms},
+                       settings.min_estimate_share * pace);
     else
         return std::nullopt;
-    return std::max(duration{0}, takes - run.ran);
+    return std::max(duration{0}, total - run.elapsed);
 }
 
-leaving_plan plan_leaving(const std::vector<leaving_run>& runs, duration left,
-                          double pace, const leaving_settings& settings)
+leaving_plan plan_leaving(const std::vector<run_on_leaving_server>& runs,
+                          duration time_left, double pace,
+                          const leaving_settings& settings)
 {
-    std::vector<const leaving_run*> stuck;
+    std::vector<const run_on_leaving_server*> movable;
     leaving_plan plan;
-    std::unordered_set<job_id> hopeless;
+    std::unordered_set<job_id> unfinishable_jobs;
     for (const auto& run : runs)
     {
-        const auto needed = least_time_left(run, pace, settings);
-        if (!needed || *needed <= left)
+        const auto needed = min_time_left(run, pace, settings);
+        if (!needed || *needed <= time_left)
             continue;
-        const auto again = settings.stop_time + settings.start_time +
-                           milliseconds{run.expected_ms};
-        if (run.expected_ms > 0 && again <= run.useful.value_or(again))
+        const auto time_elsewhere = settings.stop_time + settings.start_time +
+                                    milliseconds{run.expected_ms};
+        if (run.expected_ms > 0 &&
+            time_elsewhere <= run.useful_for.value_or(time_elsewhere))
         {
-            stuck.push_back(&run);
+            movable.push_back(&run);
             continue;
         }
-        plan.lost.push_back(run.run);
-        hopeless.insert(run.run.task.job);
+        plan.unfinishable.push_back(run.run);
+        unfinishable_jobs.insert(run.run.task.job);
     }
-    for (const auto* run : stuck)
+    for (const auto* run : movable)
     {
-        auto& group =
-            hopeless.contains(run->run.task.job) ? plan.lost : plan.moved;
+        auto& group = unfinishable_jobs.contains(run->run.task.job)
+                          ? plan.unfinishable
+                          : plan.moved;
         group.push_back(run->run);
     }
     return plan;
--- a/src/glenhollow/runs/run_agent_service.cpp
+++ b/src/glenhollow/runs/run_agent_service.cpp
@@ -15,21 +15,21 @@
 class run_agent_service::session_server final : public wire::RunSession::Server
 {
 public:
-    session_server(run_agent_service& service, std::uint64_t number)
-        : service_(service), number_(number)
+    session_server(run_agent_service& service, std::uint64_t session_number)
+        : service_(service), session_number_(session_number)
     {
     }
 
     kj::Promise<void> adopt(AdoptContext context) override
     {
-        return service_.once_known().then([this, context]() mutable
-                                          { return tell_account(context); });
+        return service_.when_runs_known().then(
+            [this, context]() mutable { return send_account(context); });
     }
 
-    kj::Promise<void> tell_account(AdoptContext& context)
+    kj::Promise<void> send_account(AdoptContext& context)
     {
         const auto part = from_wire(context.getParams().getPart());
-        auto* session = service_.find(number_);
+        auto* session = service_.find(session_number_);
         // An empty answer would say that nothing runs here.
         if (session == nullptr)
             return KJ_EXCEPTION(FAILED, "another session has replaced this");
@@ -44,26 +44,26 @@
         auto ends = out.initEnds(static_cast<unsigned>(known.ends.size()));
         for (unsigned i = 0; i < ends.size(); ++i)
             fill(ends[i], known.ends[i]);
-        log_change(log_level::info, "account_told",
+        log_change(log_level::info, "lease_account_sent",
                    {{"entry", session->entry},
                     {"lease", lease},
                     {"epoch", part.epoch},
                     {"runs", known.runs.size()},
                     {"ends", known.ends.size()},
-                    {"server_seen", service_.manager_.informed()}});
+                    {"server_polled", service_.manager_.is_polled()}});
         if (!known.declined)
-            service_.adopted(number_, lease);
+            service_.handle_adoption(session_number_, lease);
         return kj::READY_NOW;
     }
 
     kj::Promise<void> order(OrderContext context) override
     {
-        auto* session = service_.find(number_);
+        auto* session = service_.find(session_number_);
         if (session == nullptr)
             return kj::READY_NOW; // Another session has replaced this one.
         ++session->received;
-        ++service_.batches_;
-        session->marks.room = true;
+        ++service_.batch_count_;
+        session->status.load = true;
         auto batch = from_wire(context.getParams().getBatch());
         auto& manager = service_.manager_;
         if (batch.leased_at.count() != 0)
@@ -77,24 +77,24 @@
             manager.stop(run);
         for (auto& start : batch.starts)
         {
-            service_.note_grant(start);
+            service_.record_grant(start);
             manager.order(std::move(start), session->memory);
         }
-        service_.ordered(*session);
+        service_.handle_orders(*session);
         return kj::READY_NOW;
     }
 
     kj::Promise<void> pace(PaceContext context) override
     {
         auto params = context.getParams();
-        service_.pace(number_, milliseconds{params.getRoomGapMs()},
+        service_.pace(session_number_, milliseconds{params.getRoomGapMs()},
                       params.getPlaces());
         return kj::READY_NOW;
     }
 
 private:
-    run_agent_service& service_; ///< Outlives its sessions.
-    std::uint64_t number_;       ///< Of the session.
+    run_agent_service& service_;   ///< Outlives its sessions.
+    std::uint64_t session_number_; ///< Of the session.
 };
 
 /// The bootstrap interface.
@@ -109,10 +109,11 @@
         const std::string entry = params.getEntry();
         service_.open(entry, params.getIncarnation(), params.getReports());
         auto out = context.getResults();
-        out.setSession(kj::heap<session_server>(service_, service_.numbers_));
+        out.setSession(
+            kj::heap<session_server>(service_, service_.session_count_));
         out.setIncarnation(service_.incarnation_);
         fill(out.initState(), {service_.manager_.account(),
-                               service_.manager_.room(),
+                               service_.manager_.load(),
                                0,
                                true,
                                {}});
@@ -124,10 +125,10 @@
 
     kj::Promise<void> host(HostContext context) override
     {
-        if (!service_.open_host_)
+        if (!service_.job_host_factory_)
             return KJ_EXCEPTION(UNIMPLEMENTED, "this agent hosts no jobs");
         const std::string entry = context.getParams().getEntry();
-        context.getResults().setSession(service_.open_host_(entry));
+        context.getResults().setSession(service_.job_host_factory_(entry));
         return kj::READY_NOW;
     }
 
@@ -157,10 +158,11 @@
     return kj::heap<agent_server>(*this);
 }
 
-run_agent_service::session* run_agent_service::find(std::uint64_t number)
+run_agent_service::session*
+run_agent_service::find(std::uint64_t session_number)
 {
-    const auto known = by_number_.find(number);
-    return known == by_number_.end() ? nullptr : known->second;
+    const auto known = sessions_by_number_.find(session_number);
+    return known == sessions_by_number_.end() ? nullptr : known->second;
 }
 
 /// An entry attaches, again or with another process: what an ended process
@@ -175,59 +177,62 @@
         manager_.refuse_waiting(opened.memory);
     else if (opened.incarnation != 0)
         manager_.expire(opened.memory);
-    const auto memory = same ? opened.memory : memory_lease(processes_++);
-    by_number_.erase(opened.number);
+    const auto memory = same ? opened.memory : memory_lease(process_count_++);
+    sessions_by_number_.erase(opened.session_number);
     opened = {};
     opened.entry = entry;
     opened.incarnation = incarnation;
     opened.memory = memory;
-    opened.number = ++numbers_;
-    by_number_[opened.number] = &opened;
+    opened.session_number = ++session_count_;
+    sessions_by_number_[opened.session_number] = &opened;
     opened.reports = kj::mv(reports);
 }
 
-std::vector<lease_id> run_agent_service::leases_of(const session& of) const
+std::vector<lease_id>
+run_agent_service::leases_of(const session& owner_session) const
 {
     std::vector<lease_id> leases;
     for (const auto& [lease, owner] : owners_)
     {
-        if (owner == of.number)
+        if (owner == owner_session.session_number)
             leases.push_back(lease);
     }
     return leases;
 }
 
-void run_agent_service::adopted(std::uint64_t number, lease_id lease)
+void run_agent_service::handle_adoption(std::uint64_t session_number,
+                                        lease_id lease)
 {
-    owners_[lease] = number;
-    auto* owner = find(number);
+    owners_[lease] = session_number;
+    auto* owner = find(session_number);
     if (owner == nullptr)
         return;
-    owner->marks.urgent =
+    owner->status.urgent =
         true; // The lease begins with the next confirmed report.
-    schedule_now();
+    schedule_urgent_report();
 }
 
 /// An entry that had nothing here holds no lease any more: the answer to a
 /// report renews it, and its runs wait for that.
-void run_agent_service::ordered(session& by)
+void run_agent_service::handle_orders(session& sender)
 {
-    if (manager_.leased(by.memory))
-        return schedule_room();
-    by.marks.urgent = true;
-    schedule_now();
+    if (manager_.is_leased(sender.memory))
+        return schedule_load_report();
+    sender.status.urgent = true;
+    schedule_urgent_report();
 }
 
 /// An entry begins to place, or places no more: it needs the room as it is.
-void run_agent_service::pace(std::uint64_t number, duration wished, bool places)
+void run_agent_service::pace(std::uint64_t session_number,
+                             duration requested_interval, bool is_placer)
 {
-    auto* from = find(number);
-    if (from == nullptr)
+    auto* sender = find(session_number);
+    if (sender == nullptr)
         return;
-    from->marks.wished = wished;
-    from->marks.places = places;
-    from->marks.urgent = true;
-    schedule_now();
+    sender->status.requested_interval = requested_interval;
+    sender->status.is_placer = is_placer;
+    sender->status.urgent = true;
+    schedule_urgent_report();
 }
 
 run_agent_service::session* run_agent_service::owner_of(lease_id lease)
@@ -241,35 +246,35 @@
     auto* owner = owner_of(lease);
     if (owner == nullptr)
         return;
-    owner->marks.urgent = true;
-    schedule_now();
+    owner->status.urgent = true;
+    schedule_urgent_report();
 }
 
-void run_agent_service::run_began(lease_id lease)
+void run_agent_service::run_started(lease_id lease)
 {
     // Jobs in memory are counted by the next report, which comes soon: the
     // entry has a run here.
     auto* owner = is_part_lease(lease) ? owner_of(lease) : nullptr;
     if (owner == nullptr)
         return;
-    owner->marks.room = true;
-    schedule_room();
+    owner->status.load = true;
+    schedule_load_report();
 }
 
-void run_agent_service::room_changed()
+void run_agent_service::load_changed()
 {
-    tell_waiting();
+    resume_waiting();
     for (auto& [entry, one] : sessions_)
-        one.marks.room = true;
-    schedule_room();
+        one.status.load = true;
+    schedule_load_report();
 }
 
 /// Entries must not send work to a runner that is left alone.
 void run_agent_service::phase_changed()
 {
     for (auto& [entry, one] : sessions_)
-        one.marks.urgent = true;
-    schedule_now();
+        one.status.urgent = true;
+    schedule_urgent_report();
 }
 
 std::size_t run_agent_service::open_sessions() const
@@ -279,22 +284,22 @@
                          { return one.second.reports != nullptr; });
 }
 
-void run_agent_service::schedule_now()
+void run_agent_service::schedule_urgent_report()
 {
-    if (std::exchange(scheduled_, true))
+    if (std::exchange(urgent_report_scheduled_, true))
         return;
     run_after(io_, duration{0},
               [this, alive = alive_]
               {
                   if (!*alive)
                       return;
-                  scheduled_ = false;
-                  flush();
+                  urgent_report_scheduled_ = false;
+                  send_due_reports();
               });
 }
 
 /// Its placer counts the room as taken until it hears that the order is here.
-void run_agent_service::note_grant(const run_order& order)
+void run_agent_service::record_grant(const run_order& order)
 {
     if (order.grant == 0)
         return;
@@ -303,72 +308,72 @@
         if (one.incarnation != order.placer)
             continue;
         one.granted.push_back(order.grant);
-        one.marks.room = true;
+        one.status.load = true;
     }
 }
 
-duration run_agent_service::next_room_gap() const
+duration run_agent_service::next_load_interval() const
 {
     const auto open = open_sessions();
-    auto gap = pacing_.room_gap(open);
+    auto gap = pacing_.load_interval(open);
     for (const auto& [entry, one] : sessions_)
     {
-        if (one.marks.room && one.reports != nullptr)
-            gap = std::min(gap, pacing_.room_gap(one.marks, open));
+        if (one.status.load && one.reports != nullptr)
+            gap = std::min(gap, pacing_.load_interval(one.status, open));
     }
     return gap;
 }
 
 /// One timer serves all that changes within the gap.
-void run_agent_service::schedule_room()
+void run_agent_service::schedule_load_report()
 {
-    if (std::exchange(room_scheduled_, true))
+    if (std::exchange(load_report_scheduled_, true))
         return;
-    run_after(io_, next_room_gap(),
+    run_after(io_, next_load_interval(),
               [this, alive = alive_]
               {
                   if (!*alive)
                       return;
-                  room_scheduled_ = false;
-                  flush();
+                  load_report_scheduled_ = false;
+                  send_due_reports();
                   const bool left =
                       std::any_of(sessions_.begin(), sessions_.end(),
                                   [](const auto& one) {
-                                      return one.second.marks.room &&
+                                      return one.second.status.load &&
                                              one.second.reports != nullptr;
                                   });
                   if (left)
-                      schedule_room();
+                      schedule_load_report();
               });
 }
 
 void run_agent_service::tick()
 {
-    tell_waiting();
-    flush();
+    resume_waiting();
+    send_due_reports();
 }
 
 /// An entry takes what an account does not list for not there, and has it begin
 /// elsewhere: none is told before this process knows what runs.
-kj::Promise<void> run_agent_service::once_known()
+kj::Promise<void> run_agent_service::when_runs_known()
 {
-    if (manager_.knows_runs())
+    if (manager_.are_runs_known())
         return kj::READY_NOW;
     auto wait = kj::newPromiseAndFulfiller<void>();
-    waiting_.push_back(kj::mv(wait.fulfiller));
+    waiting_adoptions_.push_back(kj::mv(wait.fulfiller));
     return kj::mv(wait.promise);
 }
 
-void run_agent_service::tell_waiting()
+void run_agent_service::resume_waiting()
 {
-    if (waiting_.empty() || !manager_.knows_runs())
+    if (waiting_adoptions_.empty() || !manager_.are_runs_known())
         return;
-    for (auto& one : std::exchange(waiting_, {}))
+    for (auto& one : std::exchange(waiting_adoptions_, {}))
         one->fulfill();
 }
 
 /// Parts have an owner that must not lose its lease, whether or not they run.
-void run_agent_service::mark_busy()
+void run_agent_service::update_busy_sessions()
 {
     auto leases = manager_.leases_in_use();
     for (const auto& [lease, owner] : owners_)
@@ -377,24 +382,24 @@
             leases.insert(lease);
     }
     for (auto& [entry, one] : sessions_)
-        one.marks.busy = false;
+        one.status.busy = false;
     for (const auto lease : leases)
     {
         if (auto* owner = owner_of(lease))
-            owner->marks.busy = true;
+            owner->status.busy = true;
     }
 }
 
-bool run_agent_service::is_due(const session& to, std::size_t open) const
+bool run_agent_service::is_due(const session& receiver, std::size_t open) const
 {
-    if (to.reporting || to.reports == nullptr)
+    if (receiver.reporting || receiver.reports == nullptr)
         return false;
-    return pacing_.is_due(to.marks, open, clock_.now());
+    return pacing_.is_due(receiver.status, open, clock_.now());
 }
 
-void run_agent_service::flush()
+void run_agent_service::send_due_reports()
 {
-    mark_busy();
+    update_busy_sessions();
     const auto open = open_sessions();
     for (auto& [entry, one] : sessions_)
     {
@@ -417,87 +422,90 @@
         fill(list[i], ends[i]);
 }
 
-void run_agent_service::fill_begun(const std::vector<lease_id>& leases,
-                                   wire::RunReport::Builder out)
+void run_agent_service::fill_started(const std::vector<lease_id>& leases,
+                                     wire::RunReport::Builder out)
 {
-    std::vector<run_ref> begun;
+    std::vector<run_ref> started;
     for (const auto lease : leases)
     {
-        const auto some = manager_.take_begun(lease);
-        begun.insert(begun.end(), some.begin(), some.end());
+        const auto some = manager_.take_started(lease);
+        started.insert(started.end(), some.begin(), some.end());
     }
-    auto list = out.initStarted(static_cast<unsigned>(begun.size()));
+    auto list = out.initStarted(static_cast<unsigned>(started.size()));
     for (unsigned i = 0; i < list.size(); ++i)
-        fill(list[i], begun[i]);
+        fill(list[i], started[i]);
 }
 
-void run_agent_service::report(session& to, std::size_t open)
+void run_agent_service::report(session& receiver, std::size_t open)
 {
-    KJ_IF_MAYBE (reports, to.reports)
+    KJ_IF_MAYBE (reports, receiver.reports)
     {
         auto request = reports->reportRequest();
         auto out = request.initReport();
         const auto& account = manager_.account();
-        const bool whole = to.told_life != account.life();
+        const bool has_account =
+            receiver.reported_incarnation != account.incarnation();
         fill(out.initState(),
-             {account, manager_.room(), to.received, whole, {}});
-        const auto leases = leases_of(to);
+             {account, manager_.load(), receiver.received, has_account, {}});
+        const auto leases = leases_of(receiver);
         fill_ends(leases, out);
-        fill_begun(leases, out);
+        fill_started(leases, out);
         auto granted =
-            out.initGranted(static_cast<unsigned>(to.granted.size()));
+            out.initGranted(static_cast<unsigned>(receiver.granted.size()));
         for (unsigned i = 0; i < granted.size(); ++i)
-            granted.set(i, to.granted[i]);
-        to.granted.clear();
-        const auto next = pacing_.heartbeat(to.marks, open);
+            granted.set(i, receiver.granted[i]);
+        receiver.granted.clear();
+        const auto next = pacing_.heartbeat(receiver.status, open);
         out.setNextWithinMs(static_cast<std::uint32_t>(
             std::chrono::duration_cast<milliseconds>(next).count()));
         const auto sent = clock_.now();
         out.setSentAt(sent.count());
-        const auto number = to.number;
-        to.reporting = true;
-        to.told_life = account.life();
-        to.marks.urgent = to.marks.room = false;
-        to.marks.reported = sent;
-        ++reports_;
-        calls_.add(request.send().then(
-            [this, number, sent](auto&& answer)
+        const auto session_number = receiver.session_number;
+        receiver.reporting = true;
+        receiver.reported_incarnation = account.incarnation();
+        receiver.status.urgent = receiver.status.load = false;
+        receiver.status.reported = sent;
+        ++report_count_;
+        pending_reports_.add(request.send().then(
+            [this, session_number, sent](auto&& answer)
             {
                 std::vector<part_epoch> renewed;
                 for (auto part : answer.getRenewed())
                     renewed.push_back(from_wire(part));
                 for (const auto& end : from_wire(answer.getConfirmed()))
                     manager_.confirm(end);
-                hall_told(answer.getEvacuated(), answer.getEvacuatedAt());
-                report_answered(number, sent, renewed,
-                                milliseconds{answer.getRoomGapMs()},
-                                answer.getPlaces());
+                update_hall(answer.getEvacuated(), answer.getEvacuatedAt());
+                handle_report_answer(session_number, sent, renewed,
+                                     milliseconds{answer.getRoomGapMs()},
+                                     answer.getPlaces());
             },
-            [this, number](kj::Exception&&) { report_failed(number); }));
+            [this, session_number](kj::Exception&&)
+            { handle_report_failure(session_number); }));
     }
 }
 
-void run_agent_service::report_answered(std::uint64_t number, instant sent,
-                                        const std::vector<part_epoch>& renewed,
-                                        duration wished, bool places)
+void run_agent_service::handle_report_answer(
+    std::uint64_t session_number, instant sent,
+    const std::vector<part_epoch>& renewed, duration requested_interval,
+    bool is_placer)
 {
-    auto* from = find(number);
-    if (from == nullptr)
+    auto* sender = find(session_number);
+    if (sender == nullptr)
         return;
-    from->reporting = false;
-    from->marks.wished = wished;
-    from->marks.places = places;
-    manager_.renew(from->memory, 0, sent);
+    sender->reporting = false;
+    sender->status.requested_interval = requested_interval;
+    sender->status.is_placer = is_placer;
+    manager_.renew(sender->memory, 0, sent);
     for (const auto& part : renewed)
         manager_.renew(part.part, part.epoch, sent);
-    if (from->marks.urgent)
-        schedule_now();
-    else if (from->marks.room)
-        schedule_room();
+    if (sender->status.urgent)
+        schedule_urgent_report();
+    else if (sender->status.load)
+        schedule_load_report();
 }
 
 /// Entries learn of evacuations at different times: the newest word counts.
-void run_agent_service::hall_told(bool evacuated, std::uint64_t version)
+void run_agent_service::update_hall(bool evacuated, std::uint64_t version)
 {
     if (version <= hall_version_)
         return;
@@ -507,14 +515,14 @@
 
 /// The link is gone; its entry attaches and adopts again, and is then told of
 /// all ends.
-void run_agent_service::report_failed(std::uint64_t number)
+void run_agent_service::handle_report_failure(std::uint64_t session_number)
 {
-    auto* from = find(number);
-    if (from == nullptr)
+    auto* sender = find(session_number);
+    if (sender == nullptr)
         return;
-    log_change(log_level::info, "entry_detached", {{"entry", from->entry}});
-    from->reports = nullptr;
-    from->reporting = false;
+    log_change(log_level::info, "entry_detached", {{"entry", sender->entry}});
+    sender->reports = nullptr;
+    sender->reporting = false;
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/run_manager.cpp
+++ b/src/glenhollow/runs/run_manager.cpp
@@ -11,14 +11,15 @@
 
 using namespace manager_timing;
 
-run_manager::run_manager(const clock_source& clock, runner_port& runner,
-                         delay later, std::uint64_t fencing_token,
+run_manager::run_manager(const clock_source& clock,
+                         backend_server_client& server, delay schedule,
+                         std::uint64_t fencing_token,
                          const run_manager_settings& settings)
-    : clock_(clock), runner_(runner), later_(std::move(later)),
-      settings_(settings), token_(fencing_token), pace_(settings.pace),
+    : clock_(clock), server_(server), schedule_(std::move(schedule)),
+      settings_(settings), fencing_token_(fencing_token), pace_(settings.pace),
       breaker_(settings.breaker)
 {
-    answered_ = clock_.running();
+    last_answer_ = clock_.running();
 }
 
 run_manager::~run_manager()
@@ -30,20 +31,20 @@
 void run_manager::begin()
 {
     held_until_ = clock_.running() + with_drift(settings_.hold);
-    look();
+    poll();
 }
 
 /// The same job may come over another entry, whose runs have the same numbers:
 /// the end of one that was ordered by an entry of before must not swallow it.
 bool run_manager::is_ended(const run_ref& ref, lease_id memory)
 {
-    const auto known = ledger_.ends().find(ref);
-    if (known == ledger_.ends().end())
+    const auto known = unconfirmed_.ends().find(ref);
+    if (known == unconfirmed_.ends().end())
         return false;
     if (!ref.in_memory() || known->second.lease == memory)
         return true;
     const auto end = known->second.end;
-    ledger_.confirm(end);
+    unconfirmed_.confirm(end);
     return false;
 }
 
@@ -53,18 +54,18 @@
     if (runs_.contains(ref) || is_ended(ref, memory))
         return;
     run_record record;
-    record.lease = ref.in_memory() ? memory : found_lease(ref);
+    record.lease = ref.in_memory() ? memory : implied_lease(ref);
     const bool refused = draining_ ||
                          order.epoch < leases_[record.lease].epoch ||
-                         account_.phase != runner_phase::ready ||
+                         account_.phase != server_phase::ready ||
                          (probing() && !runs_.empty()) ||
-                         (runs_.size() >= settings_.waiting_limit &&
-                          room().waiting >= settings_.waiting_limit);
-    largest_cpu_ = std::max(largest_cpu_, order.needs.cpu);
+                         (runs_.size() >= settings_.max_waiting &&
+                          load().waiting >= settings_.max_waiting);
+    max_order_cpu_ = std::max(max_order_cpu_, order.needs.cpu);
     record.order = std::move(order);
-    record.changed = record.ordered = clock_.now();
+    record.phase_changed_at = record.ordered_at = clock_.now();
     runs_.emplace(ref, std::move(record));
-    stats_.refused_leaving += refused && account_.leaves ? 1 : 0;
+    stats_.refused_by_leaving += refused && account_.leaves_at ? 1 : 0;
     if (refused)
         return end_run(ref, run_outcome::not_begun, 0);
     start_waiting();
@@ -79,12 +80,13 @@
     constexpr duration held_past_lease = milliseconds{450};
     const auto& owner = lease_of(run);
     const bool occupied = used_.cpu > 0 || used_.gpu > 0 || used_.memory > 0;
-    return account_.phase == runner_phase::ready && !lapsing_ &&
-           !(probing() && occupied) && unsized_ == 0 && runner_clock_.known() &&
-           hold_end() > clock_.now() && owner.lease_epoch == owner.epoch &&
-           clock_.now() < owner.until &&
+    return account_.phase == server_phase::ready && !hold_lapsing_ &&
+           !(probing() && occupied) && runs_without_needs_ == 0 &&
+           server_clock_.known() && hold_end() > clock_.now() &&
+           owner.lease_epoch == owner.epoch &&
+           clock_.now() < owner.expires_at &&
            latest_hold() - clock_.running() <=
-               owner.until - clock_.now() + held_past_lease &&
+               owner.expires_at - clock_.now() + held_past_lease &&
            used_.can_fit(run.order.needs, account_.capacity);
 }
 
@@ -110,65 +112,66 @@
 order_context run_manager::context() const
 {
     const auto now = clock_.now();
-    return {account_.instance, listed_born_ms_, token_,
-            runner_clock_.at(clock_.running(), hold_end() - now)};
+    return {account_.instance, listed_born_ms_, fencing_token_,
+            server_clock_.at(clock_.running(), hold_end() - now)};
 }
 
 void run_manager::send_start(run_record& run)
 {
     run.phase = run_phase::starting;
-    run.changed = clock_.now();
+    run.phase_changed_at = clock_.now();
     used_.add(run.order.needs);
     held_until_ = std::max(
         held_until_, clock_.running() + with_drift(hold_end() - clock_.now()));
-    runner_.start({run.order.run, run.order.spec}, context(),
+    server_.start({run.order.run, run.order.spec}, context(),
                   [this, alive = alive_, ref = run.order.run,
-                   born_ms = listed_born_ms_](const order_result& got)
+                   born_ms = listed_born_ms_](const order_result& answer)
                   {
                       if (!*alive)
                           return;
-                      heard_clock(born_ms, got.clock_ms);
-                      start_answered(ref, got);
+                      update_server_clock(born_ms, answer.clock_ms);
+                      start_answered(ref, answer);
                   });
-    expect_start(run.order.run);
+    await_start(run.order.run);
 }
 
 /// An answer that is read late may be of a life that has ended since.
 /// @param born_ms Start of the life that the order was for; 0: not told.
 /// @param clock_ms What its clock showed.
-void run_manager::heard_clock(std::int64_t born_ms, std::int64_t clock_ms)
+void run_manager::update_server_clock(std::int64_t born_ms,
+                                      std::int64_t clock_ms)
 {
     if (born_ms == listed_born_ms_)
-        runner_clock_.heard(clock_.running(), clock_ms);
+        server_clock_.update(clock_.running(), clock_ms);
 }
 
-void run_manager::start_answered(const run_ref& ref, const order_result& got)
+void run_manager::start_answered(const run_ref& ref, const order_result& answer)
 {
     const auto known = runs_.find(ref);
     if (known == runs_.end())
         return;
     auto& run = known->second;
-    switch (got.outcome)
+    switch (answer.outcome)
     {
     case order_outcome::done:
         ++stats_.started;
-        refusal_wait_ = {};
-        if (run.phase == run_phase::doubtful && run.asked_stop)
+        refusal_backoff_ = {};
+        if (run.phase == run_phase::doubtful && run.is_stop_pending)
         {
             run.phase = run_phase::stopping; // Its answer came too late.
             return;
         }
-        return begun(run);
+        return started(run);
     case order_outcome::unanswered:
         ++stats_.doubtful;
         if (run.phase == run_phase::starting)
-            leave_in_doubt(run);
+            mark_doubtful(run);
         return;
     case order_outcome::fenced:
         raise_token();
         break;
     case order_outcome::unhealthy:
-        leave_alone();
+        back_off();
         break;
     default:
         break;
@@ -177,34 +180,35 @@
                {{"job", to_text(ref.task.job)},
                 {"run", ref.run},
                 {"lease", run.lease},
-                {"cause", to_name(got.outcome)}});
+                {"cause", to_name(answer.outcome)}});
     end_run(ref, run_outcome::not_begun, 0);
 }
 
 /// No answer came: it may run, or begin while its deadline lasts.
-void run_manager::leave_in_doubt(run_record& run)
+void run_manager::mark_doubtful(run_record& run)
 {
     run.phase = run_phase::doubtful;
-    run.changed = clock_.now();
-    run.latest_begin =
-        clock_.running() + with_drift(settings_.hold) + lapse_slack;
+    run.phase_changed_at = clock_.now();
+    run.latest_start =
+        clock_.running() + with_drift(settings_.hold) + lapse_margin;
 }
 
 /// A runner that refuses starts looks empty and would draw all of them.
-void run_manager::leave_alone()
+void run_manager::back_off()
 {
-    if (left_alone())
+    if (is_backing_off())
         return;
-    refusal_wait_ = std::clamp(refusal_wait_ * 2, settings_.first_refusal,
-                               settings_.longest_refusal);
-    refused_until_ = clock_.now() + refusal_wait_;
-    set_phase(runner_phase::absent);
+    refusal_backoff_ =
+        std::clamp(refusal_backoff_ * 2, settings_.min_refusal_backoff,
+                   settings_.max_refusal_backoff);
+    backoff_until_ = clock_.now() + refusal_backoff_;
+    set_phase(server_phase::absent);
 }
 
-bool run_manager::left_alone() const
+bool run_manager::is_backing_off() const
 {
     const auto now = clock_.now();
-    return now < refused_until_ || breaker_.state(now) == breaker_state::open;
+    return now < backoff_until_ || breaker_.state(now) == breaker_state::open;
 }
 
 bool run_manager::probing() const
@@ -213,20 +217,20 @@
 }
 
 /// @param bad Whether a run failed or stood still.
-void run_manager::note_health(const run_ref& ref, bool bad)
+void run_manager::record_health(const run_ref& ref, bool failed)
 {
-    if (!breaker_.note_end(ref.task.job, bad, clock_.now()))
+    if (!breaker_.record_end(ref.task.job, failed, clock_.now()))
         return;
     const auto state = breaker_.state(clock_.now());
-    log_change(log_level::warning, "runner_judged",
+    log_change(log_level::warning, "breaker_state_changed",
                {{"instance", account_.instance},
                 {"state", to_name(state)},
                 {"job", to_text(ref.task.job)},
                 {"run", ref.run}});
     if (state == breaker_state::open)
-        set_phase(runner_phase::absent);
+        set_phase(server_phase::absent);
     else
-        tell_room();
+        notify_load_changed();
 }
 
 /// A sound runner shows progress of a hundredth of a task at least.
@@ -234,22 +238,23 @@
 {
     const milliseconds estimate{run.order.estimate_ms};
     if (estimate.count() == 0)
-        return settings_.stall;
+        return settings_.max_stall;
     const auto share =
         std::chrono::duration_cast<duration>(estimate * settings_.stall_share);
-    return std::clamp<duration>(share, settings_.least_stall, settings_.stall);
+    return std::clamp<duration>(share, settings_.min_stall,
+                                settings_.max_stall);
 }
 
-void run_manager::begun(run_record& run)
+void run_manager::started(run_record& run)
 {
     if (run.phase == run_phase::stopping || run.phase == run_phase::running)
         return;
     run.phase = run_phase::running;
-    run.changed = clock_.now();
-    run.begun = run.progressed = clock_.running();
-    lease_of(run).begun.push_back(run.order.run);
+    run.phase_changed_at = clock_.now();
+    run.started = run.progressed_at = clock_.running();
+    lease_of(run).started.push_back(run.order.run);
     if (listener_ != nullptr)
-        listener_->run_began(run.lease);
+        listener_->run_started(run.lease);
 }
 
 void run_manager::stop(const run_ref& ref)
@@ -268,55 +273,55 @@
 void run_manager::send_stop(run_record& run)
 {
     constexpr std::uint32_t most_at_once = 3; // Some answers are lost.
-    if (run.asked_stop && run.stops >= most_at_once)
+    if (run.is_stop_pending && run.stop_attempts >= most_at_once)
         return;
-    run.asked_stop = true;
-    ++run.stops;
+    run.is_stop_pending = true;
+    ++run.stop_attempts;
     run.stop_sent = clock_.now();
-    runner_.stop(run.order.run, context(),
+    server_.stop(run.order.run, context(),
                  [this, alive = alive_, ref = run.order.run,
-                  born_ms = listed_born_ms_](const order_result& got)
+                  born_ms = listed_born_ms_](const order_result& answer)
                  {
                      if (!*alive)
                          return;
-                     heard_clock(born_ms, got.clock_ms);
-                     stop_answered(ref, got);
+                     update_server_clock(born_ms, answer.clock_ms);
+                     stop_answered(ref, answer);
                  });
 }
 
-void run_manager::stop_answered(const run_ref& ref, const order_result& got)
+void run_manager::stop_answered(const run_ref& ref, const order_result& answer)
 {
     const auto known = runs_.find(ref);
     if (known == runs_.end())
         return;
     auto& run = known->second;
-    if (got.outcome == order_outcome::done ||
-        got.outcome == order_outcome::superseded)
+    if (answer.outcome == order_outcome::done ||
+        answer.outcome == order_outcome::superseded)
     {
         // From now on the runner refuses a late start of this run.
-        run.settled = clock_.now();
+        run.settled_at = clock_.now();
         if (run.phase == run_phase::doubtful)
-            look_now(); // Only a later look can show that it has not begun.
+            poll_now(); // Only a later look can show that it has not begun.
         return;
     }
-    if (got.outcome == order_outcome::fenced)
+    if (answer.outcome == order_outcome::fenced)
         raise_token();
-    run.asked_stop = false;
-    run.stops = 0;
+    run.is_stop_pending = false;
+    run.stop_attempts = 0;
 }
 
 void run_manager::size(const run_order& order, lease_id memory)
 {
     const auto known = runs_.find(order.run);
-    if (known == runs_.end() || known->second.sized)
+    if (known == runs_.end() || known->second.are_needs_known)
         return;
-    known->second.sized = true;
+    known->second.are_needs_known = true;
     if (order.run.in_memory())
         known->second.lease = memory;
     known->second.order.needs = order.needs;
     used_.add(order.needs);
-    --unsized_;
-    tell_room();
+    --runs_without_needs_;
+    notify_load_changed();
     start_waiting();
 }
 
@@ -324,19 +329,19 @@
 /// none is left, a look can wait for the next end and tell it without delay.
 void run_manager::confirm(const run_end& end)
 {
-    const bool waited = ledger_.waits();
-    ledger_.confirm(end);
-    if (waited && !ledger_.waits() && informed_ && !lapsing_)
-        look();
+    const bool waited = unconfirmed_.has_unsettled();
+    unconfirmed_.confirm(end);
+    if (waited && !unconfirmed_.has_unsettled() && polled_ && !hold_lapsing_)
+        poll();
 }
 
-void run_manager::free_run(const run_ref& ref)
+void run_manager::erase_run(const run_ref& ref)
 {
     const auto known = runs_.find(ref);
     if (known == runs_.end())
         return;
-    if (!known->second.sized)
-        --unsized_;
+    if (!known->second.are_needs_known)
+        --runs_without_needs_;
     else if (occupies(known->second.phase))
         used_.subtract(known->second.order.needs);
     runs_.erase(known);
@@ -349,32 +354,32 @@
     const auto known = runs_.find(ref);
     if (known != runs_.end() && occupies(known->second.phase))
     {
-        const auto ran = clock_.now() - known->second.changed;
+        const auto ran = clock_.now() - known->second.phase_changed_at;
         end.duration_us = static_cast<std::uint32_t>(
             std::chrono::duration_cast<microseconds>(ran).count());
         if (outcome == run_outcome::done)
-            note_pace(known->second);
+            record_pace(known->second);
     }
     const bool occupied = known != runs_.end() && occupies(known->second.phase);
-    const bool orphan =
-        known != runs_.end() && known->second.orphaned.count() != 0;
+    const bool is_orphaned =
+        known != runs_.end() && known->second.orphaned_at.count() != 0;
     const auto lease =
-        known != runs_.end() ? known->second.lease : found_lease(ref);
-    free_run(ref);
-    if (!ledger_.add(end, lease, clock_.now()))
+        known != runs_.end() ? known->second.lease : implied_lease(ref);
+    erase_run(ref);
+    if (!unconfirmed_.add(end, lease, clock_.now()))
         return;
     ++stats_.ends[static_cast<std::size_t>(outcome)];
     if (outcome == run_outcome::not_begun)
         ++stats_.not_begun;
-    if (orphan && ref.in_memory())
-        ledger_.excuse(ref); // Its entry may never ask for it.
+    if (is_orphaned && ref.in_memory())
+        unconfirmed_.release(ref); // Its entry may never ask for it.
     if (listener_ != nullptr)
         listener_->lease_changed(lease);
     if (outcome == run_outcome::done || outcome == run_outcome::failed)
-        note_health(ref, outcome == run_outcome::failed);
+        record_health(ref, outcome == run_outcome::failed);
     if (!occupied)
         return;
-    tell_room();
+    notify_load_changed();
     start_waiting();
 }
 
@@ -410,19 +415,20 @@
     for (auto& [ref, run] : runs_)
     {
         const bool retry = now - run.stop_sent >= stop_retry;
-        if (run.phase == run_phase::stopping && run.settled.count() == 0 &&
+        if (run.phase == run_phase::stopping && run.settled_at.count() == 0 &&
             retry)
             to_stop.push_back(ref);
-        if (run.phase == run_phase::doubtful && run.settled.count() == 0)
+        if (run.phase == run_phase::doubtful && run.settled_at.count() == 0)
         {
-            if (clock_.running() > run.latest_begin)
-                run.settled = now; // Too late for it to begin.
-            else if (retry && now - run.changed >= settings_.patience)
+            if (clock_.running() > run.latest_start)
+                run.settled_at = now; // Too late for it to begin.
+            else if (retry &&
+                     now - run.phase_changed_at >= settings_.answer_timeout)
                 to_stop.push_back(ref);
         }
         // By what looks have shown, not by how long none was answered.
         if (run.phase == run_phase::running &&
-            answered_ - run.progressed > stall_limit(run))
+            last_answer_ - run.progressed_at > stall_limit(run))
         {
             ++stats_.stalled;
             log_change(log_level::info, "run_stalled",
@@ -436,27 +442,28 @@
     for (const auto& ref : to_stop)
         stop(ref);
     for (const auto& ref : stalled)
-        note_health(ref, true);
+        record_health(ref, true);
 }
 
 void run_manager::raise_token()
 {
-    token_ += token_step;
-    log_change(log_level::warning, "fencing_token_raised", {{"token", token_}});
+    fencing_token_ += token_step;
+    log_change(log_level::warning, "fencing_token_raised",
+               {{"token", fencing_token_}});
 }
 
-void run_manager::set_phase(runner_phase phase)
+void run_manager::set_phase(server_phase phase)
 {
     if (account_.phase == phase)
         return;
-    log_change(log_level::info, "runner_phase",
+    log_change(log_level::info, "server_phase",
                {{"instance", account_.instance},
                 {"from", to_name(account_.phase)},
                 {"to", to_name(phase)}});
     account_.phase = phase;
     if (listener_ != nullptr)
         listener_->phase_changed();
-    if (phase != runner_phase::ready)
+    if (phase != server_phase::ready)
     {
         std::vector<run_ref> waiting;
         for (const auto& [ref, run] : runs_)
@@ -467,22 +474,22 @@
         for (const auto& ref : waiting)
             end_run(ref, run_outcome::not_begun, 0);
     }
-    tell_room();
+    notify_load_changed();
 }
 
-void run_manager::tell_room()
+void run_manager::notify_load_changed()
 {
     if (listener_ != nullptr)
-        listener_->room_changed();
+        listener_->load_changed();
 }
 
-runner_room run_manager::room() const
+server_load run_manager::load() const
 {
     const auto now = clock_.now();
-    runner_room out;
+    server_load out;
     out.used = used_;
-    if (account_.leaves)
-        out.leaves_in = std::max(duration{0}, *account_.leaves - now);
+    if (account_.leaves_at)
+        out.leaves_in = std::max(duration{0}, *account_.leaves_at - now);
     out.cold = std::max(duration{0}, account_.cold_until - now);
     out.pace = pace_.known() ? pace_.value() : 0;
     for (const auto& [ref, run] : runs_)
@@ -492,35 +499,35 @@
         out.used.add(run.order.needs);
         ++out.waiting;
     }
-    if (unsized_ > 0 || !informed_ || lapsing_)
+    if (runs_without_needs_ > 0 || !polled_ || hold_lapsing_)
         out.used = account_.capacity;
     else if (probing())
-        out.used.cpu = std::max(out.used.cpu, probing_used());
+        out.used.cpu = std::max(out.used.cpu, probing_cpu_used());
     return out;
 }
 
 /// A runner on probation looks crowded, with room for one run.
-std::uint32_t run_manager::probing_used() const
+std::uint32_t run_manager::probing_cpu_used() const
 {
     const auto all = account_.capacity.cpu;
-    const auto spare = std::max(all / 4, std::min(all, largest_cpu_));
+    const auto spare = std::max(all / 4, std::min(all, max_order_cpu_));
     return runs_.empty() ? all - spare : all;
 }
 
 std::vector<run_end> run_manager::take_ends(lease_id lease)
 {
     std::vector<run_end> ends;
-    for (auto& [ref, kept] : ledger_.ends())
+    for (auto& [ref, entry] : unconfirmed_.ends())
     {
-        if (kept.lease == lease && !std::exchange(kept.told, true))
-            ends.push_back(kept.end);
+        if (entry.lease == lease && !std::exchange(entry.reported, true))
+            ends.push_back(entry.end);
     }
     return ends;
 }
 
-std::vector<run_ref> run_manager::take_begun(lease_id lease)
+std::vector<run_ref> run_manager::take_started(lease_id lease)
 {
-    return std::exchange(leases_[lease].begun, {});
+    return std::exchange(leases_[lease].started, {});
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/run_manager_leases.cpp
+++ b/src/glenhollow/runs/run_manager_leases.cpp
@@ -18,7 +18,7 @@
 }
 
 /// Of a run that this process did not start.
-lease_id run_manager::found_lease(const run_ref& run) const
+lease_id run_manager::implied_lease(const run_ref& run) const
 {
     return run.in_memory() ? unclaimed_lease
                            : part_of(run.task.job, settings_.parts);
@@ -45,20 +45,20 @@
     // elsewhere must not begin here.
     if (is_part_lease(lease))
         refuse_waiting(lease);
-    const auto concerns = [lease](lease_id of)
+    const auto is_covered = [lease](lease_id of)
     { return of == lease || (!is_part_lease(lease) && of == unclaimed_lease); };
     for (const auto& [ref, run] : runs_)
     {
-        if (concerns(run.lease))
-            out.runs.push_back({ref, run.phase, run.sized});
+        if (is_covered(run.lease))
+            out.runs.push_back({ref, run.phase, run.are_needs_known});
     }
-    for (auto& [ref, kept] : ledger_.ends())
+    for (auto& [ref, entry] : unconfirmed_.ends())
     {
-        if (!concerns(kept.lease))
+        if (!is_covered(entry.lease))
             continue;
-        kept.told = kept.lease == lease;
-        out.ends.push_back(kept.end);
-        out.ends.back().claimed = kept.told;
+        entry.reported = entry.lease == lease;
+        out.ends.push_back(entry.end);
+        out.ends.back().claimed = entry.reported;
     }
     return out;
 }
@@ -71,25 +71,25 @@
     const auto length =
         is_part_lease(lease) ? settings_.part_lease : settings_.memory_lease;
     const bool first =
-        record.lease_epoch != epoch || clock_.now() >= record.until;
+        record.lease_epoch != epoch || clock_.now() >= record.expires_at;
     record.lease_epoch = epoch;
-    record.until = std::max(record.until, confirmed + length);
+    record.expires_at = std::max(record.expires_at, confirmed + length);
     if (first)
         start_waiting();
 }
 
 void run_manager::expire(lease_id lease)
 {
-    leases_[lease].until = {};
+    leases_[lease].expires_at = {};
     end_expired_runs();
     for (const auto& end : take_ends(lease))
-        ledger_.confirm(end);
+        unconfirmed_.confirm(end);
 }
 
-bool run_manager::leased(lease_id lease) const
+bool run_manager::is_leased(lease_id lease) const
 {
     const auto known = leases_.find(lease);
-    return known != leases_.end() && clock_.now() < known->second.until;
+    return known != leases_.end() && clock_.now() < known->second.expires_at;
 }
 
 void run_manager::refuse_waiting(lease_id lease)
@@ -109,8 +109,8 @@
     std::set<lease_id> used;
     for (const auto& [ref, run] : runs_)
         used.insert(run.lease);
-    for (const auto& [ref, kept] : ledger_.ends())
-        used.insert(kept.lease);
+    for (const auto& [ref, entry] : unconfirmed_.ends())
+        used.insert(entry.lease);
     return used;
 }
 
@@ -118,18 +118,18 @@
 {
     const auto now = clock_.now();
     if (lease == unclaimed_lease)
-        return now - found >= settings_.claim_time;
+        return now - found >= settings_.claim_timeout;
     const auto known = leases_.find(lease);
-    return known == leases_.end() || now >= known->second.until;
+    return known == leases_.end() || now >= known->second.expires_at;
 }
 
 /// @return When nothing runs under it any more; zero where it has no holder.
 instant run_manager::lease_end(lease_id lease) const
 {
     const auto known = leases_.find(lease);
-    if (known == leases_.end() || known->second.until == instant{})
+    if (known == leases_.end() || known->second.expires_at == instant{})
         return {};
-    return known->second.until + settings_.stop_time;
+    return known->second.expires_at + settings_.stop_time;
 }
 
 /// This process may stand still at any moment, and then stops nothing: what
@@ -154,17 +154,17 @@
 /// for a silent entry is stopped, and lapses where that fails.
 void run_manager::check_leases()
 {
-    if (lapsing_)
+    if (hold_lapsing_)
     {
-        if (clock_.running() < lapse_over_)
+        if (clock_.running() < lapse_end_)
             return;
-        lapsing_ = false;
-        ledger_.excuse_all();
+        hold_lapsing_ = false;
+        unconfirmed_.release_all();
         log_change(log_level::info, "hold_lapsed", {});
         return;
     }
     end_expired_runs();
-    excuse_expired_ends();
+    release_expired_ends();
 }
 
 void run_manager::end_expired_runs()
@@ -173,28 +173,28 @@
     std::vector<run_ref> orphans;
     for (auto& [ref, run] : runs_)
     {
-        if (!expired(run.lease, run.changed))
+        if (!expired(run.lease, run.phase_changed_at))
         {
-            run.orphaned = {};
+            run.orphaned_at = {};
             continue;
         }
         if (is_part_lease(run.lease))
         {
             if (occupies(run.phase))
-                let_hold_lapse("part_lease", run.lease);
+                stop_renewing_hold("part_lease", run.lease);
             continue;
         }
         if (run.phase == run_phase::waiting &&
-            now - run.changed < settings_.claim_time)
+            now - run.phase_changed_at < settings_.claim_timeout)
             continue; // Its entry had nothing here: the lease is on its way.
-        if (run.orphaned.count() == 0)
+        if (run.orphaned_at.count() == 0)
         {
-            run.orphaned = now;
+            run.orphaned_at = now;
             orphans.push_back(ref);
         }
-        else if (now - run.orphaned > settings_.stop_time)
+        else if (now - run.orphaned_at > settings_.stop_time)
         {
-            let_hold_lapse("memory_lease", run.lease);
+            stop_renewing_hold("memory_lease", run.lease);
         }
     }
     if (!orphans.empty())
@@ -206,36 +206,38 @@
         stop(ref);
 }
 
-void run_manager::excuse_expired_ends()
+void run_manager::release_expired_ends()
 {
-    std::vector<run_end> unwanted;
-    std::vector<run_end> excused;
-    for (const auto& [ref, kept] : ledger_.ends())
+    std::vector<run_end> expired_ends;
+    std::vector<run_end> released;
+    for (const auto& [ref, entry] : unconfirmed_.ends())
     {
-        if (!expired(kept.lease, kept.noted))
+        if (!expired(entry.lease, entry.recorded_at))
             continue;
-        const bool counts = kept.end.outcome == run_outcome::done ||
-                            kept.end.outcome == run_outcome::failed;
+        const bool has_result = entry.end.outcome == run_outcome::done ||
+                                entry.end.outcome == run_outcome::failed;
         if (ref.in_memory())
-            (clock_.now() - kept.noted > settings_.keep_unwanted ? unwanted
-                                                                 : excused)
-                .push_back(kept.end);
-        else if (counts && kept.end.number != 0 && !kept.excused)
-            let_hold_lapse("end_unconfirmed", kept.lease);
+            (clock_.now() - entry.recorded_at >
+                     settings_.unclaimed_end_retention
+                 ? expired_ends
+                 : released)
+                .push_back(entry.end);
+        else if (has_result && entry.end.number != 0 && !entry.released)
+            stop_renewing_hold("end_unconfirmed", entry.lease);
     }
-    for (const auto& end : excused)
-        ledger_.excuse(end.run);
-    for (const auto& end : unwanted)
-        ledger_.confirm(end);
+    for (const auto& end : released)
+        unconfirmed_.release(end.run);
+    for (const auto& end : expired_ends)
+        unconfirmed_.confirm(end);
 }
 
-void run_manager::let_hold_lapse(std::string_view cause, lease_id lease)
+void run_manager::stop_renewing_hold(std::string_view cause, lease_id lease)
 {
-    if (std::exchange(lapsing_, true))
+    if (std::exchange(hold_lapsing_, true))
         return;
     ++stats_.lapses;
-    lapse_over_ = std::max(latest_hold(), clock_.running()) + lapse_slack;
-    log_change(log_level::warning, "hold_left_to_lapse",
+    lapse_end_ = std::max(latest_hold(), clock_.running()) + lapse_margin;
+    log_change(log_level::warning, "hold_renewal_stopped",
                {{"cause", cause}, {"lease", lease}});
 }
 
--- a/src/glenhollow/runs/run_manager_leaving.cpp
+++ b/src/glenhollow/runs/run_manager_leaving.cpp
@@ -23,30 +23,31 @@
 
 /// An account may lie here for long before it is read, as when this process was
 /// paused: what it told counts from when it was told.
-void run_manager::date(runner_account& account, const runner_times& times) const
+void run_manager::adjust_for_age(server_account& account,
+                                 const server_timing& times) const
 {
     const auto now = clock_.now();
     duration age{};
-    if (times.clock_ms > 0 && runner_clock_.known() &&
-        may_be_same(account.life(), account_.life()))
+    if (times.clock_ms > 0 && server_clock_.known() &&
+        may_be_same_incarnation(account.incarnation(), account_.incarnation()))
         age = std::max(duration{0}, duration{milliseconds{
-                                        runner_clock_.at(clock_.running(), {}) -
+                                        server_clock_.at(clock_.running(), {}) -
                                         times.clock_ms}});
-    account.leaves.reset();
+    account.leaves_at.reset();
     if (times.remaining)
-        account.leaves = now + *times.remaining - age;
+        account.leaves_at = now + *times.remaining - age;
     account.cold_until = now + times.cold - age;
 }
 
 /// @param before What the same life had told until now.
-void run_manager::note_notice(const std::optional<instant>& before)
+void run_manager::handle_leaving_notice(const std::optional<instant>& before)
 {
-    if (!account_.leaves || before)
+    if (!account_.leaves_at || before)
         return check_leaving();
-    ++stats_.notices;
+    ++stats_.leaving_notices;
     log_change(log_level::info, "runner_leaving",
                {{"instance", account_.instance},
-                {"left_ms", to_ms(*account_.leaves - clock_.now())},
+                {"time_left_ms", to_ms(*account_.leaves_at - clock_.now())},
                 {"runs", runs_.size()}});
     check_leaving();
 }
@@ -56,65 +57,67 @@
 /// and no sooner: no task runs twice at once.
 void run_manager::check_leaving()
 {
-    if (!account_.leaves)
+    if (!account_.leaves_at)
         return;
     const auto now = clock_.now();
-    std::vector<leaving_run> here;
+    std::vector<run_on_leaving_server> runs_here;
     for (const auto& [ref, run] : runs_)
     {
-        if (run.phase != run_phase::running || !run.sized)
+        if (run.phase != run_phase::running || !run.are_needs_known)
             continue;
-        leaving_run one;
+        run_on_leaving_server one;
         one.run = ref;
-        one.ran = clock_.running() - run.begun;
-        one.progressed_at = run.progressed - run.begun;
+        one.elapsed = clock_.running() - run.started;
+        one.last_progress = run.progressed_at - run.started;
         one.percent = run.percent;
         one.expected_ms = run.order.expected_ms;
         if (run.order.useful_ms > 0)
-            one.useful = run.ordered + milliseconds{run.order.useful_ms} - now;
-        here.push_back(one);
+            one.useful_for =
+                run.ordered_at + milliseconds{run.order.useful_ms} - now;
+        runs_here.push_back(one);
     }
-    const auto left = *account_.leaves - now;
+    const auto time_left = *account_.leaves_at - now;
     const auto plan =
-        plan_leaving(here, left, pace_.value(), settings_.leaving);
-    for (const auto& ref : plan.lost)
+        plan_leaving(runs_here, time_left, pace_.value(), settings_.leaving);
+    for (const auto& ref : plan.unfinishable)
     {
         auto& run = runs_.at(ref);
-        if (std::exchange(run.lost, true))
+        if (std::exchange(run.unfinishable, true))
             continue;
-        ++stats_.lost;
-        log_change(log_level::info, "run_lost_leaving",
+        ++stats_.unfinishable;
+        log_change(log_level::info, "run_unfinishable_on_leaving_server",
                    {{"job", to_text(ref.task.job)},
                     {"run", ref.run},
                     {"percent", run.percent},
-                    {"left_ms", to_ms(left)}});
+                    {"time_left_ms", to_ms(time_left)}});
     }
     for (const auto& ref : plan.moved)
     {
         const auto& run = runs_.at(ref);
-        const auto ran_ms = to_ms(clock_.running() - run.begun);
+        const auto ran_ms = to_ms(clock_.running() - run.started);
         ++stats_.moved;
         stats_.moved_ms += static_cast<std::uint64_t>(ran_ms);
-        log_change(log_level::info, "run_moved",
+        log_change(log_level::info, "run_stopped_on_leaving_server",
                    {{"job", to_text(ref.task.job)},
                     {"run", ref.run},
                     {"percent", run.percent},
                     {"ran_ms", ran_ms},
-                    {"left_ms", to_ms(left)}});
+                    {"time_left_ms", to_ms(time_left)}});
         stop(ref);
     }
 }
 
 /// Ends seen late say how long nothing was looked at, and those at a server
 /// that is slow from its start say nothing of it later.
-void run_manager::note_pace(const run_record& run)
+void run_manager::record_pace(const run_record& run)
 {
-    const bool cold = run.changed < account_.cold_until;
-    if (run.order.expected_ms == 0 || cold || look_gap_ > settings_.blind)
+    const bool cold = run.phase_changed_at < account_.cold_until;
+    if (run.order.expected_ms == 0 || cold ||
+        poll_gap_ > settings_.max_poll_gap)
         return;
-    const std::chrono::duration<double, std::micro> ran =
-        clock_.running() - run.begun;
-    pace_.note(ran.count() / (micros_a_ms * run.order.expected_ms));
+    const std::chrono::duration<double, std::micro> elapsed =
+        clock_.running() - run.started;
+    pace_.record(elapsed.count() / (micros_a_ms * run.order.expected_ms));
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/run_manager_timing.hpp
+++ b/src/glenhollow/runs/run_manager_timing.hpp
@@ -9,15 +9,15 @@
 {
 
 /// Steady clocks may differ by this share.
-inline constexpr double clock_drift = 0.02;
+inline constexpr double max_clock_drift = 0.02;
 /// Past the end of a hold before its runs count as ended.
-inline constexpr duration lapse_slack = milliseconds{60};
+inline constexpr duration lapse_margin = milliseconds{60};
 /// Between two stops of one run; twice what a stop takes by the platform.
 inline constexpr duration stop_retry = milliseconds{100};
 /// Between looks that get no answer.
-inline constexpr duration look_retry = milliseconds{50};
+inline constexpr duration poll_retry = milliseconds{50};
 /// Unanswered looks renew the hold so long.
-inline constexpr duration renew_blind = milliseconds{800};
+inline constexpr duration max_unanswered_renewal = milliseconds{800};
 /// Added to a fencing token that was refused.
 inline constexpr std::uint64_t token_step = 60'000;
 
@@ -25,7 +25,8 @@
 /// @return The longest that may take on this machine's.
 constexpr duration with_drift(duration length)
 {
-    return length + std::chrono::duration_cast<duration>(length * clock_drift);
+    return length +
+           std::chrono::duration_cast<duration>(length * max_clock_drift);
 }
 
 /// @param phase Of a run.
--- a/src/glenhollow/runs/run_wire.cpp
+++ b/src/glenhollow/runs/run_wire.cpp
@@ -13,7 +13,7 @@
     return {in.cStr(), in.size()};
 }
 
-void fill_account(wire::RunnerState::Builder out, const runner_account& account)
+void fill_account(wire::RunnerState::Builder out, const server_account& account)
 {
     out.setService(account.service);
     out.setInstance(account.instance);
@@ -27,9 +27,9 @@
     out.setGpu(account.capacity.gpu);
 }
 
-runner_account account_from(wire::RunnerState::Reader in)
+server_account account_from(wire::RunnerState::Reader in)
 {
-    runner_account account;
+    server_account account;
     account.service = text(in.getService());
     account.instance = text(in.getInstance());
     account.born_ms = in.getBorn();
@@ -48,28 +48,28 @@
         std::chrono::duration_cast<milliseconds>(length).count());
 }
 
-void fill_room(wire::RunnerState::Builder out, const runner_room& room)
+void fill_room(wire::RunnerState::Builder out, const server_load& load)
 {
-    out.setUsedCpu(room.used.cpu);
-    out.setUsedMemory(room.used.memory);
-    out.setUsedGpu(room.used.gpu);
-    out.setWaiting(room.waiting);
-    if (room.leaves_in)
-        out.setLeavesIn(1 + to_ms(*room.leaves_in));
-    out.setColdMs(to_ms(room.cold));
-    out.setPaceMilli(static_cast<std::uint32_t>(room.pace * per_thousand));
+    out.setUsedCpu(load.used.cpu);
+    out.setUsedMemory(load.used.memory);
+    out.setUsedGpu(load.used.gpu);
+    out.setWaiting(load.waiting);
+    if (load.leaves_in)
+        out.setLeavesIn(1 + to_ms(*load.leaves_in));
+    out.setColdMs(to_ms(load.cold));
+    out.setPaceMilli(static_cast<std::uint32_t>(load.pace * per_thousand));
 }
 
-runner_room room_from(wire::RunnerState::Reader in)
+server_load room_from(wire::RunnerState::Reader in)
 {
-    runner_room room;
-    room.used = {in.getUsedCpu(), in.getUsedMemory(), in.getUsedGpu()};
-    room.waiting = in.getWaiting();
+    server_load load;
+    load.used = {in.getUsedCpu(), in.getUsedMemory(), in.getUsedGpu()};
+    load.waiting = in.getWaiting();
     if (in.getLeavesIn() > 0)
-        room.leaves_in = milliseconds{in.getLeavesIn() - 1};
-    room.cold = milliseconds{in.getColdMs()};
-    room.pace = in.getPaceMilli() / per_thousand;
-    return room;
+        load.leaves_in = milliseconds{in.getLeavesIn() - 1};
+    load.cold = milliseconds{in.getColdMs()};
+    load.pace = in.getPaceMilli() / per_thousand;
+    return load;
 }
 
 /// Fills a list of structures.
@@ -177,7 +177,7 @@
     fill(out.initTask(), run.run.task);
     out.setRun(run.run.run);
     out.setPhase(static_cast<std::uint8_t>(run.phase));
-    out.setSized(run.sized);
+    out.setSized(run.are_needs_known);
 }
 
 listed_run from_wire(wire::RunState::Reader in)
@@ -187,24 +187,24 @@
             in.getSized()};
 }
 
-void fill(wire::RunnerState::Builder out, const runner_report& report)
+void fill(wire::RunnerState::Builder out, const server_report& report)
 {
-    out.setWhole(report.whole);
-    if (report.whole)
+    out.setWhole(report.has_account);
+    if (report.has_account)
         fill_account(out, report.account);
     out.setPhase(static_cast<std::uint8_t>(report.account.phase));
-    fill_room(out, report.room);
+    fill_room(out, report.load);
     out.setReceived(report.received);
 }
 
-runner_report from_wire(wire::RunnerState::Reader in)
+server_report from_wire(wire::RunnerState::Reader in)
 {
-    runner_report report;
-    report.whole = in.getWhole();
-    if (report.whole)
+    server_report report;
+    report.has_account = in.getWhole();
+    if (report.has_account)
         report.account = account_from(in);
-    report.account.phase = from_index(in.getPhase(), runner_phase::absent);
-    report.room = room_from(in);
+    report.account.phase = from_index(in.getPhase(), server_phase::absent);
+    report.load = room_from(in);
     report.received = in.getReceived();
     return report;
 }
--- a/src/glenhollow/runs/run_wire.hpp
+++ b/src/glenhollow/runs/run_wire.hpp
@@ -48,12 +48,12 @@
 listed_run from_wire(wire::RunState::Reader in);
 
 /// A runner as its agent reports it to one session.
-struct runner_report
+struct server_report
 {
-    runner_account account;     ///< What it says of itself.
-    runner_room room;           ///< What is taken.
+    server_account account;     ///< What it says of itself.
+    server_load load;           ///< What is taken.
     std::uint64_t received = 0; ///< Order batches of the session seen.
-    bool whole = true;          ///< All of the account, not its phase alone.
+    bool has_account = true;    ///< All of the account, not its phase alone.
     std::vector<std::uint32_t> granted; ///< Grants of the receiver whose
                                         ///< orders have come since.
     duration next_within{}; ///< The next report leaves within this time.
@@ -62,11 +62,11 @@
 
 /// @param out Gets the report.
 /// @param report A runner.
-void fill(wire::RunnerState::Builder out, const runner_report& report);
+void fill(wire::RunnerState::Builder out, const server_report& report);
 
 /// @param in A runner on the wire.
 /// @return The report.
-runner_report from_wire(wire::RunnerState::Reader in);
+server_report from_wire(wire::RunnerState::Reader in);
 
 /// A part and whose it is.
 struct part_epoch
--- a/src/glenhollow/runs/runner_memo.cpp
+++ b/src/glenhollow/runs/server_account_json.cpp
@@ -1,4 +1,4 @@
-#include "glenhollow/runs/runner_memo.hpp"
+#include "glenhollow/runs/server_account_json.hpp"
 
 #include <boost/json/parse.hpp>
 #include <boost/json/serialize.hpp>
@@ -10,9 +10,9 @@
 
 namespace json = boost::json;
 
-std::string encode_runner_memo(const runner_account& account)
+std::string encode_server_account(const server_account& account)
 {
-    const auto& room = account.capacity;
+    const auto& capacity = account.capacity;
     json::object out;
     out["service"] = account.service;
     out["instance"] = account.instance;
@@ -20,43 +20,43 @@
     out["sequence"] = account.sequence;
     out["zone"] = account.zone;
     out["labels"] = json::value_from(account.labels);
-    out["room"] = json::array{room.cpu, room.memory, room.gpu};
+    out["room"] = json::array{capacity.cpu, capacity.memory, capacity.gpu};
     out["phase"] = to_name(account.phase);
     return json::serialize(out);
 }
 
-result<runner_account> decode_runner_memo(const std::string& memo)
+result<server_account> decode_server_account(const std::string& memo)
 {
     try
     {
         const auto value = json::parse(memo);
         const auto& in = value.as_object();
-        const auto text = [&in](std::string_view field)
+        const auto string_at = [&in](std::string_view field)
         { return json::value_to<std::string>(in.at(field)); };
-        const auto& room = in.at("room").as_array();
-        const auto whole = [&room](std::size_t at)
-        { return json::value_to<std::uint32_t>(room.at(at)); };
-        const auto phase = from_name<runner_phase>(text("phase"));
-        if (!phase || text("instance").empty())
+        const auto& capacity = in.at("room").as_array();
+        const auto unsigned_at = [&capacity](std::size_t at)
+        { return json::value_to<std::uint32_t>(capacity.at(at)); };
+        const auto phase = from_name<server_phase>(string_at("phase"));
+        if (!phase || string_at("instance").empty())
             return failure{"it names no life, or no phase that is known"};
-        runner_account account;
-        account.service = text("service");
-        account.instance = text("instance");
+        server_account account;
+        account.service = string_at("service");
+        account.instance = string_at("instance");
         if (in.contains("born_ms")) // Rows of before have none.
         {
             account.born_ms = json::value_to<std::int64_t>(in.at("born_ms"));
             account.sequence = json::value_to<std::uint64_t>(in.at("sequence"));
         }
-        account.zone = text("zone");
+        account.zone = string_at("zone");
         account.labels =
             json::value_to<std::vector<std::string>>(in.at("labels"));
-        account.capacity = {whole(0), whole(1), whole(2)};
+        account.capacity = {unsigned_at(0), unsigned_at(1), unsigned_at(2)};
         account.phase = *phase;
         return account;
     }
-    catch (const std::exception& wrong)
+    catch (const std::exception& error)
     {
-        return failure{wrong.what()};
+        return failure{error.what()};
     }
 }
 
--- a/src/glenhollow/runs/runner_breaker.hpp
+++ b/src/glenhollow/runs/server_breaker.hpp
@@ -1,5 +1,5 @@
-#ifndef GLENHOLLOW_RUNS_RUNNER_BREAKER_HPP
-#define GLENHOLLOW_RUNS_RUNNER_BREAKER_HPP
+#ifndef GLENHOLLOW_RUNS_SERVER_BREAKER_HPP
+#define GLENHOLLOW_RUNS_SERVER_BREAKER_HPP
 
 #include "glenhollow/core/clock.hpp"
 #include "glenhollow/core/names.hpp"
@@ -28,22 +28,22 @@
 };
 
 /// Limits of a breaker.
-struct runner_breaker_settings
+struct server_breaker_settings
 {
-    std::uint32_t bad_in_row = 3;               ///< Bad ends until it opens.
-    std::uint32_t good_to_close = 2;            ///< Good ends of probes.
-    duration first_wait = milliseconds{400};    ///< Until the first probe.
-    duration longest_wait = milliseconds{1600}; ///< After bad probes.
+    std::uint32_t failures_to_open = 3;          ///< Bad ends until it opens.
+    std::uint32_t successes_to_close = 2;        ///< Good ends of probes.
+    duration min_open_time = milliseconds{400};  ///< Until the first probe.
+    duration max_open_time = milliseconds{1600}; ///< After bad probes.
 };
 
 /// Judges a runner by the ends of all its runs. Its agent sees them all, so it
 /// knows of a runner that fails or stands still long before any one entry
 /// could; it says good things of itself meanwhile. One thread.
-class runner_breaker final
+class server_breaker final
 {
 public:
     /// @param settings Limits.
-    explicit runner_breaker(const runner_breaker_settings& settings)
+    explicit server_breaker(const server_breaker_settings& settings)
         : settings_(settings)
     {
     }
@@ -53,7 +53,7 @@
     /// @param bad Whether it failed or stood still.
     /// @param now The time.
     /// @return Whether the state has changed by it.
-    bool note_end(job_id job, bool bad, instant now);
+    bool record_end(job_id job, bool failed, instant now);
 
     /// @param now The time.
     /// @return Whether the runner is given work.
@@ -65,14 +65,14 @@
 private:
     void open(instant now);
 
-    runner_breaker_settings settings_; ///< Limits.
+    server_breaker_settings settings_; ///< Limits.
     bool closed_ = true;               ///< Neither open nor probing.
-    std::uint32_t bad_ = 0;            ///< Bad ends in a row.
-    std::uint32_t good_ = 0;           ///< Good ends of probes.
-    job_id bad_job_ = 0;               ///< Whose the first bad end was.
+    std::uint32_t failures_ = 0;       ///< Bad ends in a row.
+    std::uint32_t successes_ = 0;      ///< Good ends of probes.
+    job_id last_failed_job_ = 0;       ///< Whose the first bad end was.
     bool several_jobs_ = false;        ///< Bad ends are of several jobs.
-    instant probe_at_{};               ///< While not closed: the next probe.
-    duration wait_{};                  ///< The last wait.
+    instant probing_from_{};           ///< While not closed: the next probe.
+    duration open_time_{};             ///< The last wait.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/runner_clock.hpp
+++ b/src/glenhollow/runs/server_clock.hpp
@@ -1,5 +1,5 @@
-#ifndef GLENHOLLOW_RUNS_RUNNER_CLOCK_HPP
-#define GLENHOLLOW_RUNS_RUNNER_CLOCK_HPP
+#ifndef GLENHOLLOW_RUNS_SERVER_CLOCK_HPP
+#define GLENHOLLOW_RUNS_SERVER_CLOCK_HPP
 
 #include "glenhollow/core/clock.hpp"
 
@@ -11,17 +11,17 @@
 /// The runner's steady clock as seen from beside it. Never ahead of it: an
 /// answer's reading is as old as the answer's way, and time is counted as the
 /// runner counts it, on the same machine: without suspended time.
-class runner_clock final
+class server_clock final
 {
 public:
     /// @param now When an answer arrived, by clock_source::running.
     /// @param clock_ms What it said; 0: nothing.
-    void heard(instant now, std::int64_t clock_ms)
+    void update(instant now, std::int64_t clock_ms)
     {
         if (clock_ms <= 0)
             return;
         clock_ms_ = clock_ms;
-        heard_ = now;
+        updated_at_ = now;
     }
 
     /// Forgets, for another life of the runner.
@@ -37,14 +37,14 @@
     {
         if (!known())
             return 0;
-        const auto since = now - heard_ + ahead;
+        const auto since = now - updated_at_ + ahead;
         return clock_ms_ +
                std::chrono::duration_cast<milliseconds>(since).count();
     }
 
 private:
     std::int64_t clock_ms_ = 0; ///< As last told.
-    instant heard_{};           ///< When.
+    instant updated_at_{};      ///< When.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/server_pace.cpp
+++ b/src/glenhollow/runs/server_pace.cpp
@@ -10,32 +10,34 @@
 {
 
 // Whatever the guesses: no backend server is that quick or slow.
-constexpr double least_ratio = 0.2;
-constexpr double most_ratio = 20.0;
+constexpr double min_ratio = 0.2;
+constexpr double max_ratio = 20.0;
 
 } // namespace
 
-void server_pace::note(double ratio)
+void server_pace::record(double ratio)
 {
     ++ends_;
-    const double weight = std::max(1.0 / ends_, settings_.least_weight);
-    const double seen = std::log(std::clamp(ratio, least_ratio, most_ratio));
-    const double off = seen - logarithm_;
+    const double weight = std::max(1.0 / ends_, settings_.min_weight);
+    const double log_ratio = std::log(std::clamp(ratio, min_ratio, max_ratio));
+    const double deviation = log_ratio - log_mean_;
     // Before some are known any of them may be the one that is far off.
     const double bounded =
-        known() ? std::clamp(off, -settings_.outlier, settings_.outlier) : off;
-    logarithm_ += weight * bounded;
+        known() ? std::clamp(deviation, -settings_.max_log_deviation,
+                             settings_.max_log_deviation)
+                : deviation;
+    log_mean_ += weight * bounded;
 }
 
 void server_pace::reset()
 {
-    logarithm_ = 0;
+    log_mean_ = 0;
     ends_ = 0;
 }
 
 double server_pace::value() const
 {
-    return std::exp(logarithm_);
+    return std::exp(log_mean_);
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/server_pace.hpp
+++ b/src/glenhollow/runs/server_pace.hpp
@@ -9,11 +9,11 @@
 /// Limits of an estimate of pace.
 struct server_pace_settings
 {
-    double least_weight = 0.05;   ///< Of one more end, once many are known.
-    double outlier = 0.7;         ///< An end moves the estimate as if it were
-                                  ///< a factor of two off (its logarithm) at
-                                  ///< most: guesses are off by 40%.
-    std::uint32_t least_ends = 3; ///< Before anything is told.
+    double min_weight = 0.05;       ///< Of one more end, once many are known.
+    double max_log_deviation = 0.7; ///< An end moves the estimate as if it were
+                                    ///< a factor of two off (its logarithm) at
+                                    ///< most: guesses are off by 40%.
+    std::uint32_t min_ends = 3;     ///< Before anything is told.
 };
 
 /// How long runs take at a backend server, over what was expected of them: 1 at
@@ -32,13 +32,13 @@
     }
 
     /// @param ratio Time of a run that ended well, over what was expected.
-    void note(double ratio);
+    void record(double ratio);
 
     /// Another life of the backend server, maybe of another kind.
     void reset();
 
     /// @return Whether enough ends have been seen.
-    bool known() const { return ends_ >= settings_.least_ends; }
+    bool known() const { return ends_ >= settings_.min_ends; }
 
     /// @return The estimate; 1 before any end.
     double value() const;
@@ -48,7 +48,7 @@
 
 private:
     server_pace_settings settings_; ///< Limits.
-    double logarithm_ = 0;          ///< Of the estimate.
+    double log_mean_ = 0;           ///< Of the estimate.
     std::uint32_t ends_ = 0;        ///< Taken.
 };
 
--- a/src/glenhollow/runs/end_ledger.cpp
+++ b/src/glenhollow/runs/unconfirmed_ends.cpp
@@ -1,9 +1,9 @@
-#include "glenhollow/runs/end_ledger.hpp"
+#include "glenhollow/runs/unconfirmed_ends.hpp"
 
 namespace glenhollow
 {
 
-bool end_ledger::add(const run_end& end, std::uint32_t lease, instant now)
+bool unconfirmed_ends::add(const run_end& end, std::uint32_t lease, instant now)
 {
     if (end.number != 0 &&
         (end.number <= confirmed_ || listed_.contains(end.number)))
@@ -19,11 +19,12 @@
         listed_.emplace(end.number, false);
         ++unsettled_;
     }
-    ends_.insert_or_assign(end.run, kept_end{end, lease, now, false, false});
+    ends_.insert_or_assign(end.run,
+                           unconfirmed_end{end, lease, now, false, false});
     return true;
 }
 
-void end_ledger::confirm(const run_end& end)
+void unconfirmed_ends::confirm(const run_end& end)
 {
     const auto known = ends_.find(end.run);
     if (known == ends_.end())
@@ -35,7 +36,7 @@
     settle(end.number);
 }
 
-void end_ledger::settle(std::uint64_t number)
+void unconfirmed_ends::settle(std::uint64_t number)
 {
     const auto known = listed_.find(number);
     if (known == listed_.end() || known->second)
@@ -49,30 +50,30 @@
     }
 }
 
-void end_ledger::excuse(const run_ref& run)
+void unconfirmed_ends::release(const run_ref& run)
 {
     const auto known = ends_.find(run);
-    if (known == ends_.end() || known->second.excused)
+    if (known == ends_.end() || known->second.released)
         return;
-    known->second.excused = true;
+    known->second.released = true;
     settle(known->second.end.number);
 }
 
-void end_ledger::excuse_all()
+void unconfirmed_ends::release_all()
 {
-    for (auto& [run, kept] : ends_)
+    for (auto& [run, recorded] : ends_)
     {
-        kept.excused = true;
-        settle(kept.end.number);
+        recorded.released = true;
+        settle(recorded.end.number);
     }
 }
 
-void end_ledger::new_life()
+void unconfirmed_ends::reset_numbers()
 {
-    for (auto& [run, kept] : ends_)
+    for (auto& [run, recorded] : ends_)
     {
-        kept.end.number = 0;
-        kept.told = false;
+        recorded.end.number = 0;
+        recorded.reported = false;
     }
     listed_.clear();
     unsettled_ = 0;
--- a/tests/fuzz/fuzz_targets.cpp
+++ b/tests/fuzz/fuzz_targets.cpp
@@ -3,7 +3,7 @@
 #include "glenhollow/durable/member_directory.hpp"
 #include "glenhollow/durable/queue_catalog.hpp"
 #include "glenhollow/language/parser.hpp"
-#include "glenhollow/runs/runner_memo.hpp"
+#include "glenhollow/runs/server_account_json.hpp"
 #include "platform/rows_format.hpp"
 #include "platform/run_lists_format.hpp"
 #include "platform/runner_account_format.hpp"
@@ -44,8 +44,8 @@
     must(!account.service.empty() && !account.zone.empty(),
          "an account names its service and zone");
     must(account.born_ms >= 0, "a start is no negative time");
-    const auto again = decode_runner_memo(encode_runner_memo(account));
-    must(again && again.value().life() == account.life() &&
+    const auto again = decode_server_account(encode_server_account(account));
+    must(again && again.value().incarnation() == account.incarnation() &&
              again.value().labels == account.labels &&
              again.value().sequence == account.sequence &&
              again.value().capacity.cpu == account.capacity.cpu,
@@ -153,12 +153,12 @@
 
 void memo(std::string_view bytes)
 {
-    const auto account = decode_runner_memo(std::string(bytes));
+    const auto account = decode_server_account(std::string(bytes));
     if (!account)
         return must_be_short(account.error().text);
-    const auto kept = encode_runner_memo(account.value());
-    const auto again = decode_runner_memo(kept);
-    must(again && encode_runner_memo(again.value()) == kept,
+    const auto kept = encode_server_account(account.value());
+    const auto again = decode_server_account(kept);
+    must(again && encode_server_account(again.value()) == kept,
          "a memo is read back");
 }
 
--- a/tests/schedule/simulated_agent.cpp
+++ b/tests/schedule/simulated_agent.cpp
@@ -45,7 +45,7 @@
                     {
                         auto account = server_.account();
                         account.sequence = sequence_;
-                        manager_->remembered(account);
+                        manager_->restored(account);
                     });
     node_.later(milliseconds{1}, [this] { tick(); });
 }
@@ -123,13 +123,13 @@
     opened.connection = std::move(connection);
     return {opened.number,
             node_.process(),
-            {manager_->account(), manager_->room(), 0, true, {}}};
+            {manager_->account(), manager_->load(), 0, true, {}}};
 }
 
 void simulated_agent::adopt(std::uint64_t session, part_epoch part,
                             std::function<void(const lease_account&)> told)
 {
-    if (manager_->knows_runs())
+    if (manager_->are_runs_known())
         return tell_account(session, part, told);
     waiting_.push_back([this, session, part, told = std::move(told)]
                        { tell_account(session, part, told); });
@@ -150,7 +150,7 @@
             return node_.name() + " tells entry " + std::to_string(by->entry) +
                    " of " + std::to_string(known.runs.size()) + " runs, " +
                    std::to_string(known.ends.size()) + " ends" +
-                   (manager_->informed() ? "" : ", not having looked");
+                   (manager_->is_polled() ? "" : ", not having looked");
         });
     if (!known.declined)
         adopted(*by, lease);
@@ -159,7 +159,7 @@
 
 void simulated_agent::tell_waiting()
 {
-    if (waiting_.empty() || !manager_->knows_runs())
+    if (waiting_.empty() || !manager_->are_runs_known())
         return;
     for (auto& one : std::exchange(waiting_, {}))
         node_.later(duration{0}, std::move(one));
@@ -168,7 +168,7 @@
 void simulated_agent::adopted(session& owner, lease_id lease)
 {
     owners_[lease] = owner.number;
-    owner.marks.urgent = true;
+    owner.status.urgent = true;
     schedule_now();
 }
 
@@ -178,7 +178,7 @@
     if (by == nullptr)
         return; // Another session has replaced it.
     ++by->received;
-    by->marks.room = true;
+    by->status.load = true;
     if (batch.leased_at.count() != 0)
         manager_->renew(by->memory, 0,
                         std::min(batch.leased_at, node_.clock().now()));
@@ -190,9 +190,9 @@
         manager_->stop(run);
     for (auto& start : batch.starts)
         manager_->order(std::move(start), by->memory);
-    if (manager_->leased(by->memory))
+    if (manager_->is_leased(by->memory))
         return schedule_room();
-    by->marks.urgent = true;
+    by->status.urgent = true;
     schedule_now();
 }
 
@@ -209,32 +209,32 @@
 {
     if (auto* owner = owner_of(lease))
     {
-        owner->marks.urgent = true;
+        owner->status.urgent = true;
         schedule_now();
     }
 }
 
-void simulated_agent::run_began(lease_id lease)
+void simulated_agent::run_started(lease_id lease)
 {
     auto* owner = is_part_lease(lease) ? owner_of(lease) : nullptr;
     if (owner == nullptr)
         return;
-    owner->marks.room = true;
+    owner->status.load = true;
     schedule_room();
 }
 
-void simulated_agent::room_changed()
+void simulated_agent::load_changed()
 {
     tell_waiting();
     for (auto& [entry, one] : sessions_)
-        one.marks.room = true;
+        one.status.load = true;
     schedule_room();
 }
 
 void simulated_agent::phase_changed()
 {
     for (auto& [entry, one] : sessions_)
-        one.marks.urgent = true;
+        one.status.urgent = true;
     schedule_now();
 }
 
@@ -254,7 +254,7 @@
 {
     if (std::exchange(room_scheduled_, true))
         return;
-    node_.later(pacing_.room_gap(open_sessions()),
+    node_.later(pacing_.load_interval(open_sessions()),
                 [this]
                 {
                     room_scheduled_ = false;
@@ -277,11 +277,11 @@
             leases.insert(lease);
     }
     for (auto& [entry, one] : sessions_)
-        one.marks.busy = false;
+        one.status.busy = false;
     for (const auto lease : leases)
     {
         if (auto* owner = owner_of(lease))
-            owner->marks.busy = true;
+            owner->status.busy = true;
     }
 }
 
@@ -292,7 +292,7 @@
     for (auto& [entry, one] : sessions_)
     {
         if (!one.reporting && one.open &&
-            pacing_.is_due(one.marks, open, node_.clock().now()))
+            pacing_.is_due(one.status, open, node_.clock().now()))
             report(one);
     }
 }
@@ -313,10 +313,10 @@
     if (!to.connection->open(direction::to_agent))
         return closed(to.number);
     const auto& account = manager_->account();
-    runner_report out{account,
-                      manager_->room(),
+    server_report out{account,
+                      manager_->load(),
                       to.received,
-                      to.told_life != account.life(),
+                      to.told_life != account.incarnation(),
                       {}};
     std::vector<run_end> ends;
     std::vector<run_ref> begun;
@@ -324,15 +324,15 @@
     {
         const auto some = manager_->take_ends(lease);
         ends.insert(ends.end(), some.begin(), some.end());
-        const auto more = manager_->take_begun(lease);
+        const auto more = manager_->take_started(lease);
         begun.insert(begun.end(), more.begin(), more.end());
     }
-    out.next_within = pacing_.heartbeat(to.marks, open_sessions());
+    out.next_within = pacing_.heartbeat(to.status, open_sessions());
     out.sent_at = node_.clock().now();
     to.reporting = true;
-    to.told_life = account.life();
-    to.marks.urgent = to.marks.room = false;
-    to.marks.reported = out.sent_at;
+    to.told_life = account.incarnation();
+    to.status.urgent = to.status.load = false;
+    to.status.reported = out.sent_at;
     to.connection->send(
         direction::to_entry,
         [this, agent = number_, ear = to.ear, ear_number = to.ear_number,
@@ -355,13 +355,13 @@
     if (from == nullptr)
         return;
     from->reporting = false;
-    from->marks.wished = answer.wished;
+    from->status.requested_interval = answer.requested_interval;
     manager_->renew(from->memory, 0, sent);
     for (const auto& part : answer.renewed)
         manager_->renew(part.part, part.epoch, sent);
-    if (from->marks.urgent)
+    if (from->status.urgent)
         schedule_now();
-    else if (from->marks.room)
+    else if (from->status.load)
         schedule_room();
 }
 
--- a/tests/schedule/simulated_agent.hpp
+++ b/tests/schedule/simulated_agent.hpp
@@ -20,7 +20,7 @@
 {
     std::vector<part_epoch> renewed; ///< Parts whose leases go on.
     std::vector<run_end> confirmed;  ///< Ends that need not be kept.
-    duration wished{};               ///< Least time between reports of room.
+    duration requested_interval{};   ///< Least time between reports of room.
 };
 
 /// The side of a session that an entry offers to the agent.
@@ -35,7 +35,7 @@
     /// @param begun Runs that began.
     /// @return What goes back with the answer.
     virtual report_answer on_report(std::size_t agent, std::uint64_t number,
-                                    const runner_report& report,
+                                    const server_report& report,
                                     const std::vector<run_end>& ends,
                                     const std::vector<run_ref>& begun) = 0;
 };
@@ -45,7 +45,7 @@
 {
     std::uint64_t session = 0; ///< Its number at the agent.
     std::uint64_t process = 0; ///< Of the agent.
-    runner_report state;       ///< Of the server.
+    server_report state;       ///< Of the server.
 };
 
 /// An agent's processes, one after the other, and the agent's side of
@@ -63,7 +63,7 @@
 /// | answered      | run_agent_service::report_answered                    |
 /// | closed        | run_agent_service::report_failed                      |
 /// | lease_changed | the same, and ::schedule_now                          |
-/// | room_changed  | the same, and ::schedule_room                         |
+/// | load_changed  | the same, and ::schedule_room                         |
 /// | tick          | durable_agent::tick: the manager, then the service    |
 /// | begin         | durable_agent's start; remembered or registered soon  |
 class simulated_agent final : private run_listener
@@ -114,15 +114,15 @@
         std::uint64_t received = 0;    ///< Order batches.
         bool open = false;             ///< It can be reported to.
         bool reporting = false;        ///< A report is out.
-        report_marks marks;            ///< What it has to be told.
-        server_life told_life;         ///< Whose account it was told.
+        report_status status;          ///< What it has to be told.
+        server_incarnation told_life;  ///< Whose account it was told.
         report_ear* ear = nullptr;     ///< The entry's side.
         std::shared_ptr<simulated_connection> connection; ///< Its own.
     };
 
     void lease_changed(lease_id lease) override;
-    void run_began(lease_id lease) override;
-    void room_changed() override;
+    void run_started(lease_id lease) override;
+    void load_changed() override;
     void phase_changed() override;
     void tick();
     void tell_account(std::uint64_t session, part_epoch part,
--- a/tests/schedule/simulated_entry.cpp
+++ b/tests/schedule/simulated_entry.cpp
@@ -275,7 +275,7 @@
 
 report_answer simulated_entry::on_report(std::size_t agent,
                                          std::uint64_t number,
-                                         const runner_report& report,
+                                         const server_report& report,
                                          const std::vector<run_end>& ends,
                                          const std::vector<run_ref>& begun)
 {
--- a/tests/schedule/simulated_entry.hpp
+++ b/tests/schedule/simulated_entry.hpp
@@ -120,7 +120,7 @@
     std::optional<run_order> assign(const ready_task& task,
                                     const std::string& agent) override;
     report_answer on_report(std::size_t agent, std::uint64_t number,
-                            const runner_report& report,
+                            const server_report& report,
                             const std::vector<run_end>& ends,
                             const std::vector<run_ref>& begun) override;
 
--- a/tests/schedule/simulated_server.cpp
+++ b/tests/schedule/simulated_server.cpp
@@ -74,14 +74,14 @@
     calls_.push_back({told, std::move(broken)});
 }
 
-runner_account simulated_server::account() const
+server_account simulated_server::account() const
 {
-    runner_account out;
+    server_account out;
     out.service = "service-1";
     out.instance = id_;
     out.born_ms = born_ms_;
     out.capacity = capacity;
-    out.phase = runner_phase::ready;
+    out.phase = server_phase::ready;
     return out;
 }
 
@@ -151,10 +151,10 @@
 
 void simulated_server::start(const run_start& start,
                              const order_context& context,
-                             const runner_port::order_handler& done)
+                             const backend_server_client::order_handler& done)
 {
     if (is_wrong(context))
-        return done({order_outcome::wrong_life, now_ms()});
+        return done({order_outcome::wrong_incarnation, now_ms()});
     if (is_fenced(context))
         return done({order_outcome::fenced, now_ms()});
     const auto outcome = begin_run(start, context);
@@ -233,10 +233,10 @@
 }
 
 void simulated_server::stop(const run_ref& run, const order_context& context,
-                            const runner_port::order_handler& done)
+                            const backend_server_client::order_handler& done)
 {
     if (is_wrong(context))
-        return done({order_outcome::wrong_life, now_ms()});
+        return done({order_outcome::wrong_incarnation, now_ms()});
     if (is_fenced(context))
         return done({order_outcome::fenced, now_ms()});
     time_.note(
@@ -255,12 +255,13 @@
 }
 
 void simulated_server::hold(const hold_request& request,
-                            const runner_port::hold_handler& done)
+                            const backend_server_client::hold_handler& done)
 {
     hold_result refused;
     refused.clock_ms = now_ms();
-    refused.outcome = is_wrong(request.context) ? order_outcome::wrong_life
-                                                : order_outcome::fenced;
+    refused.outcome = is_wrong(request.context)
+                          ? order_outcome::wrong_incarnation
+                          : order_outcome::fenced;
     if (is_wrong(request.context) || is_fenced(request.context))
         return done(refused);
     extend(request.context.deadline_ms);
@@ -368,7 +369,10 @@
     const bool other = server_.node().up() && context.born_ms != 0 &&
                        context.born_ms != server_.born_ms();
     if (other)
-        caller_.deliver(way, [done] { done({order_outcome::wrong_life, 0}); });
+        caller_.deliver(way,
+                        [done] {
+                            done({order_outcome::wrong_incarnation, 0});
+                        });
     return other;
 }
 
--- a/tests/schedule/simulated_server.hpp
+++ b/tests/schedule/simulated_server.hpp
@@ -40,7 +40,7 @@
     void end();
 
     /// @return Its account, as it registers it.
-    runner_account account() const;
+    server_account account() const;
 
     /// Its process, which may stand still.
     simulated_node& node() { return node_; }
@@ -52,11 +52,11 @@
     std::int64_t born_ms() const { return born_ms_; }
 
     void start(const run_start& start, const order_context& context,
-               const runner_port::order_handler& done);
+               const backend_server_client::order_handler& done);
     void stop(const run_ref& run, const order_context& context,
-              const runner_port::order_handler& done);
+              const backend_server_client::order_handler& done);
     void hold(const hold_request& request,
-              const runner_port::hold_handler& done);
+              const backend_server_client::hold_handler& done);
 
     /// A call is out: its connection breaks with the life.
     /// @param told Whether it has ended.
@@ -86,8 +86,8 @@
 
     struct waiting_look
     {
-        std::uint64_t number = 0;       ///< Of the look.
-        runner_port::hold_handler done; ///< Told.
+        std::uint64_t number = 0;                 ///< Of the look.
+        backend_server_client::hold_handler done; ///< Told.
     };
 
     using task_key = std::tuple<job_id, std::uint32_t, std::uint32_t>;
@@ -140,7 +140,7 @@
 };
 
 /// The calls of one process of an agent.
-class simulated_server_port final : public runner_port
+class simulated_server_port final : public backend_server_client
 {
 public:
     /// @param time Outlives it.
--- a/tests/unit/durable/agent_sessions_tests.cpp
+++ b/tests/unit/durable/agent_sessions_tests.cpp
@@ -47,7 +47,7 @@
 /// Records which accounts of the entry's jobs in memory are complete.
 struct recording_entry : agent_session_listener
 {
-    void agent_attached(const std::string&, const runner_report&) override {}
+    void agent_attached(const std::string&, const server_report&) override {}
     void agent_detached(const std::string&) override {}
     void agent_ordered(const std::string&) override {}
     void agent_adopted(const std::string&, part_epoch,
@@ -55,7 +55,7 @@
     {
         complete.push_back(account.complete);
     }
-    void agent_reported(const std::string&, const runner_report&,
+    void agent_reported(const std::string&, const server_report&,
                         const std::vector<run_end>&,
                         const std::vector<run_ref>&) override
     {
--- a/tests/unit/durable/cancel_over_links_tests.cpp
+++ b/tests/unit/durable/cancel_over_links_tests.cpp
@@ -53,11 +53,11 @@
     {
         holder.make(loop, store);
         other.make(loop, store);
-        runner_account account;
+        server_account account;
         account.service = "service-1";
         account.instance = "life-1";
         account.capacity = {4000, 1000, 0};
-        account.phase = runner_phase::ready;
+        account.phase = server_phase::ready;
         manager.registered(account);
     }
 
@@ -143,7 +143,7 @@
     manual_loop store_loop;
     manual_loop runner_loop;
     fake_row_store store{store_loop};
-    fake_runner_port runner{runner_loop};
+    fake_backend_server runner{runner_loop};
     run_manager manager{process_clock(), runner, delay(), 1,
                         run_manager_settings{}};
     std::unique_ptr<rpc_listener> agent_links;
--- a/tests/unit/durable/coordinator_fixture.hpp
+++ b/tests/unit/durable/coordinator_fixture.hpp
@@ -22,12 +22,12 @@
 
     void attach(const std::string& name)
     {
-        placing.attached(name, report(name, runner_phase::ready));
+        placing.attached(name, report(name, server_phase::ready));
     }
 
-    static runner_report report(const std::string& name, runner_phase phase)
+    static server_report report(const std::string& name, server_phase phase)
     {
-        runner_report report;
+        server_report report;
         report.account.service = "service-1";
         report.account.instance = name + "-life";
         report.account.capacity = {8000, 1000, 0};
@@ -38,7 +38,7 @@
     void drain_all()
     {
         for (const auto* name : {"agent-1", "agent-2"})
-            placing.reported(name, report(name, runner_phase::draining));
+            placing.reported(name, report(name, server_phase::draining));
     }
 
     job_coordinator::dependencies dependencies()
--- a/tests/unit/durable/evacuation_tests.cpp
+++ b/tests/unit/durable/evacuation_tests.cpp
@@ -17,14 +17,14 @@
 /// An entry that sends a set evacuation state to its agents.
 struct evacuation_entry : agent_session_listener
 {
-    void agent_attached(const std::string&, const runner_report&) override {}
+    void agent_attached(const std::string&, const server_report&) override {}
     void agent_detached(const std::string&) override {}
     void agent_ordered(const std::string&) override {}
     void agent_adopted(const std::string&, part_epoch,
                        const lease_account&) override
     {
     }
-    void agent_reported(const std::string&, const runner_report& report,
+    void agent_reported(const std::string&, const server_report& report,
                         const std::vector<run_end>&,
                         const std::vector<run_ref>&) override
     {
@@ -48,7 +48,7 @@
     }
 
     hall_evacuation evacuation;
-    runner_phase phase = runner_phase::absent;
+    server_phase phase = server_phase::absent;
 };
 
 /// Merges the evacuated halls of peers into its own view.
@@ -121,19 +121,19 @@
 {
     rpc_loop loop;
     manual_loop runner_loop;
-    fake_runner_port runner(runner_loop);
+    fake_backend_server runner(runner_loop);
     run_manager manager(runner_loop.clock, runner, runner_loop.delay(), 1000,
                         {});
-    runner_account account;
+    server_account account;
     account.service = "service-1";
     account.instance = "life-1";
     account.zone = "hall-1";
     account.capacity = {4000, 1000, 0};
-    account.phase = runner_phase::ready;
+    account.phase = server_phase::ready;
     manager.registered(account);
     manager.begin();
     runner_loop.advance(milliseconds{20});
-    REQUIRE(manager.account().phase == runner_phase::ready);
+    REQUIRE(manager.account().phase == server_phase::ready);
     auto agent = std::make_unique<run_agent_service>(
         loop.io(), process_clock(), manager, 1, report_pacing_settings{});
     evacuation_entry entry;
@@ -143,23 +143,23 @@
     auto listener = rpc_listener::create(loop.io(), "127.0.0.1", 0);
     REQUIRE(listener);
     auto& links = *listener.value();
-    std::vector<runner_phase> phases;
+    std::vector<server_phase> phases;
     std::function<void()> step = [&]
     {
         sessions.tick();
         agent->tick();
-        if (entry.phase == runner_phase::ready && phases.empty())
+        if (entry.phase == server_phase::ready && phases.empty())
         {
             phases.push_back(entry.phase);
             entry.evacuation = {true, 7};
         }
-        if (entry.phase == runner_phase::draining && phases.size() == 1)
+        if (entry.phase == server_phase::draining && phases.size() == 1)
         {
             phases.push_back(entry.phase);
             entry.evacuation = {true, 6}; // An entry with an older version.
             entry.evacuation = {false, 8};
         }
-        if (entry.phase == runner_phase::ready && phases.size() == 2)
+        if (entry.phase == server_phase::ready && phases.size() == 2)
         {
             phases.push_back(entry.phase);
             return loop.stop();
--- a/tests/unit/durable/placement_world.hpp
+++ b/tests/unit/durable/placement_world.hpp
@@ -38,14 +38,14 @@
         placing.adopted(name, memory_part);
     }
 
-    static runner_report report(const std::string& rack, std::uint32_t taken)
+    static server_report report(const std::string& rack, std::uint32_t taken)
     {
-        runner_report out;
+        server_report out;
         out.account.service = "service-1";
         out.account.capacity = {16000, 64000, 0};
-        out.account.phase = runner_phase::ready;
+        out.account.phase = server_phase::ready;
         out.account.labels = {"kind-a", rack};
-        out.room.used = {taken, 0, 0};
+        out.load.used = {taken, 0, 0};
         out.received = 1000; // Acknowledges all batches.
         return out;
     }
--- a/tests/unit/durable/restarted_server_links_tests.cpp
+++ b/tests/unit/durable/restarted_server_links_tests.cpp
@@ -16,7 +16,7 @@
 /// An entry that keeps a view of one agent.
 struct viewing_entry : agent_session_listener
 {
-    void agent_attached(const std::string&, const runner_report& told) override
+    void agent_attached(const std::string&, const server_report& told) override
     {
         view.attached(told);
     }
@@ -26,7 +26,7 @@
                        const lease_account&) override
     {
     }
-    void agent_reported(const std::string&, const runner_report& told,
+    void agent_reported(const std::string&, const server_report& told,
                         const std::vector<run_end>&,
                         const std::vector<run_ref>&) override
     {
@@ -61,17 +61,17 @@
     // capacity would overload it.
     rpc_loop loop;
     manual_loop time;
-    fake_runner_port server(time);
-    server.life = "server-1";
+    fake_backend_server server(time);
+    server.incarnation = "server-1";
     server.born_ms = 1000;
     run_manager manager(time.clock, server, time.delay(), 1000, {});
-    runner_account account;
+    server_account account;
     account.service = "service-1";
     account.instance = "server-1";
     account.born_ms = 1000;
     account.capacity = {96000, 1000, 0};
     account.labels = {"kind-b"};
-    account.phase = runner_phase::ready;
+    account.phase = server_phase::ready;
     manager.registered(account);
     manager.begin();
     time.advance(milliseconds{20});
@@ -90,7 +90,7 @@
         sessions.tick();
         agent->tick();
         const auto& seen = entry.view.account();
-        if (seen.phase == runner_phase::ready && !restarted)
+        if (seen.phase == server_phase::ready && !restarted)
         {
             CHECK(seen.capacity.cpu == 96000);
             restarted = true;
@@ -103,7 +103,7 @@
             time.advance(milliseconds{50});
         }
         if (restarted && seen.born_ms == 2000 &&
-            seen.phase == runner_phase::ready)
+            seen.phase == server_phase::ready)
             return loop.stop();
         run_after(loop.io(), milliseconds{2}, step);
     };
--- a/tests/unit/durable/server_order_tests.cpp
+++ b/tests/unit/durable/server_order_tests.cpp
@@ -27,7 +27,7 @@
     void server(const std::string& name, double pace, std::uint32_t taken = 0)
     {
         auto known = report("rack-1", taken);
-        known.room.pace = pace;
+        known.load.pace = pace;
         ordered.attached(name, known);
         ordered.adopted(name, memory_part);
     }
@@ -45,11 +45,11 @@
 };
 
 /// @param left The time until the server leaves.
-runner_report leaving_report(duration left)
+server_report leaving_report(duration left)
 {
     auto out = placement_world::report("rack-1", 0);
-    out.account.phase = runner_phase::draining;
-    out.room.leaves_in = left;
+    out.account.phase = server_phase::draining;
+    out.load.leaves_in = left;
     return out;
 }
 
@@ -81,7 +81,7 @@
     placement_world world;
     world.runner("warm", "rack-1", 12000);
     auto cold = placement_world::report("rack-1", 0);
-    cold.room.cold = seconds{2};
+    cold.load.cold = seconds{2};
     world.placing.attached("cold", cold);
     world.placing.adopted("cold", memory_part);
     CHECK(world.place(world.task("", slack)) == "warm");
@@ -94,7 +94,7 @@
     placement_world world;
     world.runner("warm", "rack-1", 16000);
     auto cold = placement_world::report("rack-1", 0);
-    cold.room.cold = seconds{2};
+    cold.load.cold = seconds{2};
     world.placing.attached("cold", cold);
     world.placing.adopted("cold", memory_part);
     CHECK(world.place(world.task("", slack)) == "cold");
@@ -181,7 +181,7 @@
     view.attached(report);
     view.record_pace(3.0);
     CHECK(view.pace() > 1.0);
-    report.room.pace = 1.6;
+    report.load.pace = 1.6;
     view.reported(report);
     CHECK(view.pace() == Approx(1.6));
     view.detached();
@@ -189,7 +189,7 @@
     CHECK(view.pace() == Approx(1.6));
     report.account.instance = "life-2";
     report.account.born_ms = 1000;
-    report.room.pace = 0;
+    report.load.pace = 0;
     view.reported(report);
     CHECK(view.pace() == Approx(1.0));
     view.record_pace(3.0);
@@ -208,8 +208,8 @@
     const auto [agent, run] = world.started.front();
     const std::string other = agent == "agent-1" ? "agent-2" : "agent-1";
     world.started.clear();
-    auto leaving = coordinator_fixture::report(agent, runner_phase::draining);
-    leaving.room.leaves_in = seconds{2};
+    auto leaving = coordinator_fixture::report(agent, server_phase::draining);
+    leaving.load.leaves_in = seconds{2};
     world.placing.reported(agent, leaving);
     world.settle();
     CHECK(world.started.empty()); // The run has not ended yet.
@@ -234,13 +234,13 @@
         const auto [agent, run] = world.started.front();
         world.started.clear();
         auto leaving =
-            coordinator_fixture::report(agent, runner_phase::draining);
-        leaving.room.leaves_in = seconds{2};
+            coordinator_fixture::report(agent, server_phase::draining);
+        leaving.load.leaves_in = seconds{2};
         world.placing.reported(agent, leaving);
         world.end(agent, run, run_outcome::stopped);
     }
     CHECK(world.started.empty()); // No server takes work.
-    auto back = coordinator_fixture::report("agent-1", runner_phase::ready);
+    auto back = coordinator_fixture::report("agent-1", server_phase::ready);
     back.account.instance = "another life";
     world.placing.reported("agent-1", back);
     world.settle();
@@ -255,8 +255,8 @@
     world.in_memory();
     for (const auto* name : {"agent-1", "agent-2"})
     {
-        auto full = coordinator_fixture::report(name, runner_phase::ready);
-        full.room.used = full.account.capacity; // The task has to wait.
+        auto full = coordinator_fixture::report(name, server_phase::ready);
+        full.load.used = full.account.capacity; // The task has to wait.
         world.placing.reported(name, full);
     }
     ready_task wanted;
--- a/tests/unit/durable/shared_placement_tests.cpp
+++ b/tests/unit/durable/shared_placement_tests.cpp
@@ -21,10 +21,10 @@
 {
     queue_fixture() : placing(process_clock(), *this, *this, {})
     {
-        runner_report report;
+        server_report report;
         report.account.service = "service-1";
         report.account.capacity = {4000, 1000, 0};
-        report.account.phase = runner_phase::ready;
+        report.account.phase = server_phase::ready;
         placing.attached("agent-1", report);
         placing.adopted("agent-1", memory_part);
     }
@@ -218,11 +218,11 @@
 TEST_CASE("the end of a session drops its waiting tasks at the placer")
 {
     placement_fixture fixture(placer_behavior::answers);
-    runner_report full;
+    server_report full;
     full.account.service = "service-1";
     full.account.capacity = {4000, 1000, 0};
-    full.account.phase = runner_phase::ready;
-    full.room.used = full.account.capacity;
+    full.account.phase = server_phase::ready;
+    full.load.used = full.account.capacity;
     fixture.placer.placing.reported("agent-1", full);
     bool enqueued = false;
     fixture.until([&] { return fixture.placer.placing.waiting() == 1; },
--- a/tests/unit/durable/unseen_runs_tests.cpp
+++ b/tests/unit/durable/unseen_runs_tests.cpp
@@ -18,7 +18,7 @@
 /// Entry that keeps the first lease account of each part.
 struct recording_entry : agent_session_listener
 {
-    void agent_attached(const std::string&, const runner_report&) override
+    void agent_attached(const std::string&, const server_report&) override
     {
         attached = true;
     }
@@ -29,7 +29,7 @@
     {
         accounts.emplace(part.part, account);
     }
-    void agent_reported(const std::string&, const runner_report&,
+    void agent_reported(const std::string&, const server_report&,
                         const std::vector<run_end>&,
                         const std::vector<run_ref>&) override
     {
@@ -120,7 +120,7 @@
     const run_ref in_memory{{43, 0, 0, 0}, first_memory_run + 1};
     rpc_loop loop;
     manual_loop time;
-    fake_runner_port server{time};
+    fake_backend_server server{time};
     run_manager manager{time.clock, server, time.delay(), 1000, one_part()};
     std::unique_ptr<run_agent_service> agent =
         std::make_unique<run_agent_service>(loop.io(), process_clock(), manager,
@@ -179,7 +179,7 @@
             return !fixture.told() && steps < 20 * enough_steps;
         });
     REQUIRE(fixture.told());
-    CHECK(told_at - begun_at > longest_hold);
+    CHECK(told_at - begun_at > max_hold);
     CHECK(fixture.entry.accounts.at(0).runs.empty());
 }
 
--- a/tests/unit/hosting/job_handover_tests.cpp
+++ b/tests/unit/hosting/job_handover_tests.cpp
@@ -21,14 +21,14 @@
 /// Ignores all agent events.
 struct idle_listener : agent_session_listener
 {
-    void agent_attached(const std::string&, const runner_report&) override {}
+    void agent_attached(const std::string&, const server_report&) override {}
     void agent_detached(const std::string&) override {}
     void agent_ordered(const std::string&) override {}
     void agent_adopted(const std::string&, part_epoch,
                        const lease_account&) override
     {
     }
-    void agent_reported(const std::string&, const runner_report&,
+    void agent_reported(const std::string&, const server_report&,
                         const std::vector<run_end>&,
                         const std::vector<run_ref>&) override
     {
@@ -109,11 +109,11 @@
         : links(std::move(
               rpc_listener::create(loop.io(), "127.0.0.1", 0).value()))
     {
-        runner_account account;
+        server_account account;
         account.service = "service-1";
         account.instance = "life-1";
         account.capacity = {4000, 1000, 0};
-        account.phase = runner_phase::ready;
+        account.phase = server_phase::ready;
         manager.registered(account);
     }
 
@@ -188,8 +188,8 @@
                 agent = std::make_unique<run_agent_service>(
                     loop.io(), process_clock(), manager, 1,
                     report_pacing_settings{});
-                agent->host_jobs_by([this](const std::string& by)
-                                    { return open_host(by); });
+                agent->set_job_host_factory([this](const std::string& by)
+                                            { return open_host(by); });
                 links->serve(agent->bootstrap());
                 manager.begin();
                 for (auto* one : {&entry, &other})
@@ -213,7 +213,7 @@
     manual_loop store_loop;
     manual_loop runner_loop;
     fake_row_store store{store_loop};
-    fake_runner_port runner{runner_loop};
+    fake_backend_server runner{runner_loop};
     run_manager manager{process_clock(), runner, delay(), 1,
                         run_manager_settings{}};
     std::unique_ptr<rpc_listener> links;
--- a/tests/unit/platform/foreign_input_tests.cpp
+++ b/tests/unit/platform/foreign_input_tests.cpp
@@ -99,7 +99,7 @@
 {
     known_world()
     {
-        server.life = "server-1";
+        server.incarnation = "server-1";
         server.born_ms = 1'750'000'000'000;
         manager.begin();
         put("server-1", good_beat);
@@ -140,14 +140,14 @@
     {
         const auto& known = manager.account();
         return known.instance == "server-1" &&
-               known.phase == runner_phase::ready &&
+               known.phase == server_phase::ready &&
                known.capacity.cpu == 4000 && known.service == "service-1" &&
                known.labels.size() == 2 && server.running.size() == 1 &&
-               manager.ledger().empty();
+               manager.unconfirmed().empty();
     }
 
     manual_loop loop;
-    fake_runner_port server{loop};
+    fake_backend_server server{loop};
     run_manager manager{loop.clock, server, loop.delay(), 1000, {}};
     runner_registration registration{manager, "service-1"};
 };
@@ -179,10 +179,11 @@
     const auto told = decode_account("server-1", good_beat, "service-1");
     REQUIRE(told);
     const auto& account = told.value().account;
-    CHECK(account.life() == server_life{"server-1", 1'750'000'000'000});
+    CHECK(account.incarnation() ==
+          server_incarnation{"server-1", 1'750'000'000'000});
     CHECK(account.service == "service-1");
     CHECK(account.zone == "hall-1");
-    CHECK(account.phase == runner_phase::ready);
+    CHECK(account.phase == server_phase::ready);
     CHECK(account.sequence == 4);
     CHECK(account.capacity.cpu == 4000);
     CHECK(account.capacity.memory == 1000);
--- a/tests/unit/platform/restarted_server_tests.cpp
+++ b/tests/unit/platform/restarted_server_tests.cpp
@@ -27,7 +27,7 @@
 {
     restart_world()
     {
-        server.life = "server-1";
+        server.incarnation = "server-1";
         server.born_ms = first_born;
         server.clock_ahead = seconds{500};
         manager.begin();
@@ -114,12 +114,12 @@
         run(milliseconds{200});
         CHECK(beat(second_born, 1, "ready") == 200);
         run(milliseconds{100});
-        REQUIRE(manager.account().phase == runner_phase::ready);
+        REQUIRE(manager.account().phase == server_phase::ready);
         told.clear();
     }
 
     manual_loop loop;
-    fake_runner_port server{loop};
+    fake_backend_server server{loop};
     run_manager manager{loop.clock, server, loop.delay(), 1000, {}};
     platform::runner_registration registration{manager};
     std::vector<run_end> told; ///< To the entry, which confirmed them.
@@ -135,7 +135,7 @@
     world.live_again();
     CHECK(world.beat(second_born, 2, "draining") == 200);
     world.run(milliseconds{20});
-    CHECK(world.manager.account().phase == runner_phase::draining);
+    CHECK(world.manager.account().phase == server_phase::draining);
     world.order(7);
     world.run(milliseconds{50});
     CHECK(world.server.running.empty());
@@ -156,7 +156,7 @@
     world.run(milliseconds{200});
     REQUIRE(world.told.size() == 1);
     CHECK(world.told[0].outcome == run_outcome::done);
-    CHECK(world.manager.stats().vanished == 0);
+    CHECK(world.manager.stats().runs_missing == 0);
 }
 
 TEST_CASE("late heartbeats of the life before and of this one change nothing",
@@ -169,10 +169,10 @@
     world.run(milliseconds{20});
     world.beat(first_born, 41, "ready"); // Held back since before the end.
     world.run(milliseconds{50});
-    CHECK(world.manager.account().phase == runner_phase::draining);
+    CHECK(world.manager.account().phase == server_phase::draining);
     world.beat(second_born, 4, "ready"); // Overtaken by the fifth.
     world.run(milliseconds{50});
-    CHECK(world.manager.account().phase == runner_phase::draining);
+    CHECK(world.manager.account().phase == server_phase::draining);
     CHECK(world.manager.account().born_ms == second_born);
 }
 
@@ -224,7 +224,7 @@
     world.live_once();
     world.server.restart(second_born);
     world.run(milliseconds{300});
-    CHECK(world.manager.account().phase == runner_phase::absent);
+    CHECK(world.manager.account().phase == server_phase::absent);
     world.order(7);
     world.run(milliseconds{50});
     CHECK(world.server.running.empty());
@@ -238,9 +238,9 @@
     world.live_again();
     world.beat(second_born, 2, "draining", R"(,"remaining_ms":1800)");
     world.run(milliseconds{20});
-    REQUIRE(world.manager.room().leaves_in);
-    CHECK(*world.manager.room().leaves_in > milliseconds{1500});
-    CHECK(*world.manager.room().leaves_in <= milliseconds{1800});
+    REQUIRE(world.manager.load().leaves_in);
+    CHECK(*world.manager.load().leaves_in > milliseconds{1500});
+    CHECK(*world.manager.load().leaves_in <= milliseconds{1800});
 }
 
 TEST_CASE("a sign-off of the life before that comes late ends nothing",
@@ -254,7 +254,7 @@
     CHECK(world.sign_off() == 200);
     world.run(milliseconds{200});
     CHECK(world.told.empty());
-    CHECK(world.manager.account().phase == runner_phase::ready);
+    CHECK(world.manager.account().phase == server_phase::ready);
     CHECK(world.server.running.size() == 1);
 }
 
@@ -279,7 +279,7 @@
     world.live_once();
     world.order(7);
     world.run(milliseconds{50});
-    world.server.ended = true;
+    world.server.unreachable = true;
     world.sign_off();
     world.run(milliseconds{150});
     CHECK(world.manager.account().instance.empty());
@@ -292,17 +292,17 @@
 {
     restart_world world;
     world.live_once();
-    world.server.ended = true;
+    world.server.unreachable = true;
     world.run(milliseconds{200});
-    CHECK(world.manager.account().phase == runner_phase::absent);
+    CHECK(world.manager.account().phase == server_phase::absent);
     world.order(7);
     world.run(milliseconds{10});
     REQUIRE(world.told.size() == 1);
     CHECK(world.told[0].outcome == run_outcome::not_begun);
     CHECK(world.server.started.at(42) == 3);
-    world.server.ended = false; // The same life: it was cut off.
+    world.server.unreachable = false; // The same life: it was cut off.
     world.run(milliseconds{100});
-    CHECK(world.manager.account().phase == runner_phase::ready);
+    CHECK(world.manager.account().phase == server_phase::ready);
 }
 
 TEST_CASE("a heartbeat that names no start is not used where lists name one",
@@ -313,7 +313,7 @@
     // An answer of 200 would be relied on.
     CHECK(world.beat(0, 50, "draining") == 400);
     world.run(milliseconds{20});
-    CHECK(world.manager.account().phase == runner_phase::ready);
+    CHECK(world.manager.account().phase == server_phase::ready);
     CHECK(world.manager.stats().heartbeats.at(2) == 1);
 }
 
@@ -324,11 +324,11 @@
     world.server.born_ms = 0;
     world.beat(0, 1, "ready");
     world.run(milliseconds{50});
-    CHECK(world.manager.account().phase == runner_phase::ready);
+    CHECK(world.manager.account().phase == server_phase::ready);
     world.beat(0, 3, "draining");
     world.beat(0, 2, "ready");
     world.run(milliseconds{50});
-    CHECK(world.manager.account().phase == runner_phase::draining);
+    CHECK(world.manager.account().phase == server_phase::draining);
 }
 
 TEST_CASE("a new life that answers no look is taken once the last is silent",
@@ -342,7 +342,7 @@
     CHECK(world.manager.account().born_ms == first_born); // It may live.
     world.run(milliseconds{1500});
     CHECK(world.manager.account().born_ms == second_born);
-    CHECK(world.manager.account().phase == runner_phase::absent);
+    CHECK(world.manager.account().phase == server_phase::absent);
 }
 
 TEST_CASE("a start told by the time of day may be earlier than the last one",
@@ -355,10 +355,10 @@
     world.run(milliseconds{200});
     world.beat(first_born - 60'000, 1, "ready");
     world.run(milliseconds{100});
-    CHECK(world.manager.account().phase == runner_phase::ready);
+    CHECK(world.manager.account().phase == server_phase::ready);
     world.beat(first_born - 60'000, 2, "draining");
     world.run(milliseconds{20});
-    CHECK(world.manager.account().phase == runner_phase::draining);
+    CHECK(world.manager.account().phase == server_phase::draining);
 }
 
 TEST_CASE("a heartbeat of a life that has ended does not stand in for the next",
@@ -370,10 +370,10 @@
     world.run(milliseconds{200});
     world.beat(first_born, 41, "ready"); // Held back.
     world.run(milliseconds{200});
-    CHECK(world.manager.account().phase == runner_phase::absent);
+    CHECK(world.manager.account().phase == server_phase::absent);
     world.beat(second_born, 1, "ready");
     world.run(milliseconds{100});
-    CHECK(world.manager.account().phase == runner_phase::ready);
+    CHECK(world.manager.account().phase == server_phase::ready);
     CHECK(world.manager.account().born_ms == second_born);
 }
 
@@ -381,20 +381,20 @@
           "[restarted_server]")
 {
     restart_world world;
-    runner_account before;
+    server_account before;
     before.service = "service-1";
     before.instance = "server-1";
     before.born_ms = first_born;
     before.sequence = 40;
     before.capacity = {16000, 1000, 0};
-    before.phase = runner_phase::ready;
+    before.phase = server_phase::ready;
     world.server.restart(second_born);
-    world.manager.remembered(before);
+    world.manager.restored(before);
     world.run(milliseconds{200});
-    CHECK(world.manager.account().phase == runner_phase::absent);
+    CHECK(world.manager.account().phase == server_phase::absent);
     world.beat(second_born, 1, "ready");
     world.run(milliseconds{100});
-    CHECK(world.manager.account().phase == runner_phase::ready);
+    CHECK(world.manager.account().phase == server_phase::ready);
     CHECK(world.manager.account().capacity.cpu == 4000);
 }
 
@@ -403,13 +403,13 @@
 {
     restart_world world;
     world.beat(first_born, 40, "ready"); // On its way as the agent began.
-    runner_account kept = world.manager.account();
+    server_account kept = world.manager.account();
     kept.sequence = 42;
-    kept.phase = runner_phase::draining;
-    world.manager.remembered(kept);
+    kept.phase = server_phase::draining;
+    world.manager.restored(kept);
     world.run(milliseconds{50});
-    CHECK(world.manager.account().phase == runner_phase::draining);
+    CHECK(world.manager.account().phase == server_phase::draining);
     world.beat(first_born, 41, "ready");
     world.run(milliseconds{50});
-    CHECK(world.manager.account().phase == runner_phase::draining);
+    CHECK(world.manager.account().phase == server_phase::draining);
 }
--- a/tests/unit/platform/runner_registration_tests.cpp
+++ b/tests/unit/platform/runner_registration_tests.cpp
@@ -28,7 +28,7 @@
 
     std::uint64_t sequence = 0;
     manual_loop loop;
-    fake_runner_port runner{loop};
+    fake_backend_server runner{loop};
     run_manager manager{loop.clock, runner, loop.delay(), 1000, {}};
     platform::runner_registration registration{manager};
 };
@@ -39,40 +39,40 @@
 {
     registration_world world;
     CHECK(world.put(R"("state":"draining","remaining_ms":1800)") == 200);
-    REQUIRE(world.manager.room().leaves_in);
-    CHECK(*world.manager.room().leaves_in == milliseconds{1800});
+    REQUIRE(world.manager.load().leaves_in);
+    CHECK(*world.manager.load().leaves_in == milliseconds{1800});
     CHECK(world.put(R"("state":"ready")") == 200);
-    CHECK_FALSE(world.manager.room().leaves_in);
+    CHECK_FALSE(world.manager.load().leaves_in);
 }
 
 TEST_CASE("a server that stays has no notice, whatever else is told")
 {
     registration_world world;
     world.put(R"("state":"ready","remaining_ms":1800)");
-    CHECK_FALSE(world.manager.room().leaves_in);
+    CHECK_FALSE(world.manager.load().leaves_in);
 }
 
 TEST_CASE("a server that leaves and does not say when gives no notice")
 {
     registration_world world;
     world.put(R"("state":"draining")");
-    CHECK_FALSE(world.manager.room().leaves_in);
-    CHECK(world.manager.stats().notices == 0);
+    CHECK_FALSE(world.manager.load().leaves_in);
+    CHECK(world.manager.stats().leaving_notices == 0);
 }
 
 TEST_CASE("a server tells how long it stays slow from its start")
 {
     registration_world world;
     world.put(R"("state":"ready","cold_remaining_ms":700)");
-    CHECK(world.manager.room().cold == milliseconds{700});
+    CHECK(world.manager.load().cold == milliseconds{700});
     world.loop.advance(milliseconds{500});
-    CHECK(world.manager.room().cold == milliseconds{200});
+    CHECK(world.manager.load().cold == milliseconds{200});
 }
 
 TEST_CASE("times without measure are an hour at most")
 {
     registration_world world;
     world.put(R"("state":"draining","remaining_ms":18446744073709551615)");
-    REQUIRE(world.manager.room().leaves_in);
-    CHECK(*world.manager.room().leaves_in == seconds{3600});
+    REQUIRE(world.manager.load().leaves_in);
+    CHECK(*world.manager.load().leaves_in == seconds{3600});
 }
--- a/tests/unit/runs/heartbeat_order_tests.cpp
+++ b/tests/unit/runs/heartbeat_order_tests.cpp
@@ -8,47 +8,48 @@
 namespace
 {
 
-const server_life first{"server-1", 1000};
-const server_life second{"server-1", 2000};
+const server_incarnation first{"server-1", 1000};
+const server_incarnation second{"server-1", 2000};
 
 } // namespace
 
 TEST_CASE("a heartbeat is late after a later one of its life, and only then")
 {
     heartbeat_order order;
-    CHECK_FALSE(order.overtaken(first, 1));
-    order.note(first, 7);
-    CHECK_FALSE(order.overtaken(first, 7)); // Sent again without an answer.
-    CHECK_FALSE(order.overtaken(first, 8));
-    REQUIRE(order.overtaken(first, 6));
-    CHECK(*order.overtaken(first, 6) == 7);
+    CHECK_FALSE(order.newer_sequence(first, 1));
+    order.record(first, 7);
+    CHECK_FALSE(
+        order.newer_sequence(first, 7)); // Sent again without an answer.
+    CHECK_FALSE(order.newer_sequence(first, 8));
+    REQUIRE(order.newer_sequence(first, 6));
+    CHECK(*order.newer_sequence(first, 6) == 7);
 }
 
 TEST_CASE("a life under the id of the last one counts anew")
 {
     heartbeat_order order;
-    order.note(first, 40);
-    CHECK_FALSE(order.overtaken(second, 1));
-    order.note(second, 2);
-    CHECK(order.overtaken(second, 1));
-    CHECK(order.overtaken(first, 39));
+    order.record(first, 40);
+    CHECK_FALSE(order.newer_sequence(second, 1));
+    order.record(second, 2);
+    CHECK(order.newer_sequence(second, 1));
+    CHECK(order.newer_sequence(first, 39));
 }
 
 TEST_CASE("a heartbeat of an earlier life makes no room for late ones")
 {
     heartbeat_order order;
-    order.note(second, 5);
-    order.note(first, 41);
-    CHECK(order.overtaken(second, 4));
-    order.note(second, 3); // Whatever is noted, the highest stays.
-    CHECK(order.overtaken(second, 4));
+    order.record(second, 5);
+    order.record(first, 41);
+    CHECK(order.newer_sequence(second, 4));
+    order.record(second, 3); // Whatever is noted, the highest stays.
+    CHECK(order.newer_sequence(second, 4));
 }
 
 TEST_CASE("no more lives are remembered than can have heartbeats on their way")
 {
     heartbeat_order order;
-    order.note(first, 40);
-    for (std::size_t i = 0; i < heartbeat_order::most_lives; ++i)
-        order.note({"server-1", 3000 + static_cast<std::int64_t>(i)}, 1);
-    CHECK_FALSE(order.overtaken(first, 1));
+    order.record(first, 40);
+    for (std::size_t i = 0; i < heartbeat_order::max_incarnations; ++i)
+        order.record({"server-1", 3000 + static_cast<std::int64_t>(i)}, 1);
+    CHECK_FALSE(order.newer_sequence(first, 1));
 }
--- a/tests/unit/runs/inherited_hold_tests.cpp
+++ b/tests/unit/runs/inherited_hold_tests.cpp
@@ -19,17 +19,17 @@
           "[inherited_hold]")
 {
     manual_loop loop;
-    fake_runner_port server{loop};
-    const run_ref kept{{1, 0, 0, 0}, 1};
+    fake_backend_server server{loop};
+    const run_ref durable_run{{1, 0, 0, 0}, 1};
     // What the process before did last: it renewed the hold.
-    server.running.push_back(kept);
+    server.running.push_back(durable_run);
     server.held_until = server.now_ms() + 1000;
     run_manager manager{loop.clock, server, loop.delay(), 1000, {}};
-    runner_account account;
+    server_account account;
     account.service = "service-1";
     account.instance = "life-1";
     account.capacity = {8000, 1000, 0};
-    account.phase = runner_phase::ready;
+    account.phase = server_phase::ready;
     manager.registered(account);
     manager.begin();
     const auto run = [&](duration length)
@@ -42,7 +42,7 @@
         }
     };
     run(milliseconds{300});
-    server.finish(kept, run_outcome::done);
+    server.finish(durable_run, run_outcome::done);
     run(milliseconds{300});
     CHECK(server.confirmed == 0);
     run(milliseconds{200});
--- a/tests/unit/runs/lease_bounds_hold_tests.cpp
+++ b/tests/unit/runs/lease_bounds_hold_tests.cpp
@@ -24,18 +24,18 @@
 
 constexpr lease_id ended_entry = memory_lease(0);
 constexpr lease_id live_entry = memory_lease(1);
-constexpr duration callers_wait = milliseconds{1300};
+constexpr duration caller_resend_delay = milliseconds{1300};
 
 /// An agent with runs of two entries.
-struct two_entries_world
+struct two_entries_fixture
 {
-    two_entries_world()
+    two_entries_fixture()
     {
-        runner_account account;
+        server_account account;
         account.service = "service-1";
         account.instance = "life-1";
         account.capacity = {8000, 1000, 0};
-        account.phase = runner_phase::ready;
+        account.phase = server_phase::ready;
         manager.registered(account);
         manager.begin();
         run(milliseconds{20}, true);
@@ -80,7 +80,7 @@
     }
 
     manual_loop loop;
-    fake_runner_port server{loop};
+    fake_backend_server server{loop};
     run_manager manager{loop.clock, server, loop.delay(), 1000, {}};
 };
 
@@ -90,35 +90,35 @@
           "their agent stands still",
           "[lease_bounds_hold]")
 {
-    two_entries_world world;
-    const auto run = world.order(1, ended_entry);
-    world.run(milliseconds{100}, true);
-    REQUIRE(world.runs(run));
-    const auto ended_at = world.loop.clock.now();
+    two_entries_fixture fixture;
+    const auto run = fixture.order(1, ended_entry);
+    fixture.run(milliseconds{100}, true);
+    REQUIRE(fixture.runs(run));
+    const auto ended_at = fixture.loop.clock.now();
     // Wherever the agent stands still from now on, the server lets go in time.
-    while (world.runs(run))
+    while (fixture.runs(run))
     {
-        const auto passed = world.loop.clock.now() - ended_at;
+        const auto passed = fixture.loop.clock.now() - ended_at;
         INFO(std::chrono::duration_cast<milliseconds>(passed).count()
              << " ms after the end of the entry");
-        REQUIRE(passed + world.held_for() < callers_wait);
-        world.run(milliseconds{10}, false);
+        REQUIRE(passed + fixture.held_for() < caller_resend_delay);
+        fixture.run(milliseconds{10}, false);
     }
 }
 
 TEST_CASE("a start of one entry does not keep runs of an ended one alive",
           "[lease_bounds_hold]")
 {
-    two_entries_world world;
-    const auto run = world.order(1, ended_entry);
-    world.run(milliseconds{100}, true);
-    const auto ended_at = world.loop.clock.now();
-    for (job_id job = 2; world.runs(run) && job < 100; ++job)
+    two_entries_fixture fixture;
+    const auto run = fixture.order(1, ended_entry);
+    fixture.run(milliseconds{100}, true);
+    const auto ended_at = fixture.loop.clock.now();
+    for (job_id job = 2; fixture.runs(run) && job < 100; ++job)
     {
-        world.order(job, live_entry);
-        const auto passed = world.loop.clock.now() - ended_at;
-        REQUIRE(passed + world.held_for() < callers_wait);
-        world.run(milliseconds{10}, false);
+        fixture.order(job, live_entry);
+        const auto passed = fixture.loop.clock.now() - ended_at;
+        REQUIRE(passed + fixture.held_for() < caller_resend_delay);
+        fixture.run(milliseconds{10}, false);
     }
 }
 
@@ -126,52 +126,53 @@
           "outlasts its lease",
           "[lease_bounds_hold]")
 {
-    two_entries_world world;
+    two_entries_fixture fixture;
     std::vector<run_ref> others;
     for (job_id job = 2; job < 10; ++job)
-        others.push_back(world.order(job, live_entry));
-    world.run(milliseconds{50}, true);
-    const auto run = world.order(1, ended_entry); // No room.
-    world.run(milliseconds{50}, true);
-    REQUIRE_FALSE(world.runs(run));
-    const auto ended_at = world.loop.clock.now();
+        others.push_back(fixture.order(job, live_entry));
+    fixture.run(milliseconds{50}, true);
+    const auto run = fixture.order(1, ended_entry); // No room.
+    fixture.run(milliseconds{50}, true);
+    REQUIRE_FALSE(fixture.runs(run));
+    const auto ended_at = fixture.loop.clock.now();
     // Room is free at some time within the lease.
-    world.run(milliseconds{500}, false);
-    world.server.finish(others.front(), run_outcome::done);
-    while (world.loop.clock.now() - ended_at < callers_wait)
+    fixture.run(milliseconds{500}, false);
+    fixture.server.finish(others.front(), run_outcome::done);
+    while (fixture.loop.clock.now() - ended_at < caller_resend_delay)
     {
-        world.run(milliseconds{10}, false);
-        const auto passed = world.loop.clock.now() - ended_at;
+        fixture.run(milliseconds{10}, false);
+        const auto passed = fixture.loop.clock.now() - ended_at;
         INFO(std::chrono::duration_cast<milliseconds>(passed).count()
              << " ms after the end of the entry");
-        REQUIRE((!world.runs(run) || passed + world.held_for() < callers_wait));
+        REQUIRE((!fixture.runs(run) ||
+                 passed + fixture.held_for() < caller_resend_delay));
     }
 }
 
 TEST_CASE("the runs of other entries go on when one has ended",
           "[lease_bounds_hold]")
 {
-    two_entries_world world;
-    const auto gone = world.order(1, ended_entry);
-    const auto other = world.order(2, live_entry);
-    world.run(milliseconds{100}, true);
+    two_entries_fixture fixture;
+    const auto ended_run = fixture.order(1, ended_entry);
+    const auto other = fixture.order(2, live_entry);
+    fixture.run(milliseconds{100}, true);
     for (int i = 0; i < 300; ++i)
     {
-        world.run(milliseconds{10}, false);
-        REQUIRE(world.runs(other));
+        fixture.run(milliseconds{10}, false);
+        REQUIRE(fixture.runs(other));
     }
-    CHECK_FALSE(world.runs(gone));
+    CHECK_FALSE(fixture.runs(ended_run));
 }
 
 TEST_CASE("a server that can't be told to stop lets go in time all the same",
           "[lease_bounds_hold]")
 {
-    two_entries_world world;
-    const auto run = world.order(1, ended_entry);
-    world.run(milliseconds{100}, true);
-    const auto ended_at = world.loop.clock.now();
-    world.server.drop_orders = 1000;
-    while (world.loop.clock.now() - ended_at < callers_wait)
-        world.run(milliseconds{10}, false);
-    CHECK_FALSE(world.runs(run));
+    two_entries_fixture fixture;
+    const auto run = fixture.order(1, ended_entry);
+    fixture.run(milliseconds{100}, true);
+    const auto ended_at = fixture.loop.clock.now();
+    fixture.server.drop_orders = 1000;
+    while (fixture.loop.clock.now() - ended_at < caller_resend_delay)
+        fixture.run(milliseconds{10}, false);
+    CHECK_FALSE(fixture.runs(run));
 }
--- a/tests/unit/runs/leaving_server_tests.cpp
+++ b/tests/unit/runs/leaving_server_tests.cpp
@@ -10,18 +10,18 @@
 constexpr duration notice = seconds{2};
 
 /// A run that has just begun, of whose end some use is left for 10 s.
-leaving_run run(std::uint32_t expected_ms, job_id job = 1,
-                std::uint32_t index = 0)
+run_on_leaving_server run(std::uint32_t expected_ms, job_id job = 1,
+                          std::uint32_t index = 0)
 {
-    leaving_run out;
+    run_on_leaving_server out;
     out.run = {{job, 0, 0, index}, 1};
     out.expected_ms = expected_ms;
-    out.useful = seconds{10};
+    out.useful_for = seconds{10};
     return out;
 }
 
-leaving_plan plan(const std::vector<leaving_run>& runs, double pace = 1.0,
-                  duration left = notice)
+leaving_plan plan(const std::vector<run_on_leaving_server>& runs,
+                  double pace = 1.0, duration left = notice)
 {
     return plan_leaving(runs, left, pace, {});
 }
@@ -32,7 +32,7 @@
 {
     const auto found = plan({run(3000)}); // Guesses are off by 40%.
     CHECK(found.moved.empty());
-    CHECK(found.lost.empty());
+    CHECK(found.unfinishable.empty());
 }
 
 TEST_CASE("a run that surely can't end before its server leaves is moved")
@@ -49,11 +49,11 @@
 TEST_CASE("progress says more than the guess")
 {
     auto quick = run(9000);
-    quick.ran = quick.progressed_at = milliseconds{500};
+    quick.elapsed = quick.last_progress = milliseconds{500};
     quick.percent = 40;
     CHECK(plan({quick}).moved.empty());
     auto slow = run(100);
-    slow.ran = slow.progressed_at = seconds{1};
+    slow.elapsed = slow.last_progress = seconds{1};
     slow.percent = 20;
     CHECK(plan({slow}).moved.size() == 1);
 }
@@ -61,35 +61,35 @@
 TEST_CASE("a run that would help nobody when run again is left to run")
 {
     auto late = run(3600);
-    late.useful = milliseconds{3700}; // Less the stop and the start.
+    late.useful_for = milliseconds{3700}; // Less the stop and the start.
     const auto found = plan({late});
     CHECK(found.moved.empty());
-    CHECK(found.lost.size() == 1);
+    CHECK(found.unfinishable.size() == 1);
 }
 
 TEST_CASE("a job that is kept is always worth being run again")
 {
-    auto kept = run(3600);
-    kept.useful.reset();
-    CHECK(plan({kept}).moved.size() == 1);
+    auto durable_run = run(3600);
+    durable_run.useful_for.reset();
+    CHECK(plan({durable_run}).moved.size() == 1);
 }
 
 TEST_CASE("of a run nothing is known of nothing is expected")
 {
     const auto found = plan({run(0)}, 1.0, duration{0});
     CHECK(found.moved.empty());
-    CHECK(found.lost.empty());
+    CHECK(found.unfinishable.empty());
 }
 
 TEST_CASE("tasks of a job go together: none is moved where one is lost")
 {
-    auto lost = run(3600, 1, 0);
-    lost.useful = seconds{1};
+    auto unfinishable = run(3600, 1, 0);
+    unfinishable.useful_for = seconds{1};
     const auto found =
-        plan({lost, run(3600, 1, 1), run(3600, 2, 0), run(100, 1, 2)});
+        plan({unfinishable, run(3600, 1, 1), run(3600, 2, 0), run(100, 1, 2)});
     REQUIRE(found.moved.size() == 1);
     CHECK(found.moved[0].task.job == 2);
-    CHECK(found.lost.size() == 2);
+    CHECK(found.unfinishable.size() == 2);
 }
 
 TEST_CASE("when the time has run out all that can be run again is moved")
--- a/tests/unit/runs/report_pacing_tests.cpp
+++ b/tests/unit/runs/report_pacing_tests.cpp
@@ -17,27 +17,27 @@
 int reports_a_second(std::size_t sessions)
 {
     const report_pacing pacing({});
-    std::vector<report_marks> all(sessions, {false, true, begin});
+    std::vector<report_status> all(sessions, {false, true, begin});
     int sent = 0;
     for (auto now = begin; now < begin + seconds{1}; now += milliseconds{1})
     {
-        for (auto& marks : all)
+        for (auto& status : all)
         {
-            if (!pacing.is_due(marks, sessions, now))
+            if (!pacing.is_due(status, sessions, now))
                 continue;
-            marks.reported = now;
+            status.reported = now;
             ++sent;
         }
     }
     return sent;
 }
 
-runner_report whole_report()
+server_report whole_report()
 {
-    runner_report report;
+    server_report report;
     report.account.service = "service-1";
     report.account.capacity = {16000, 64000, 0};
-    report.account.phase = runner_phase::ready;
+    report.account.phase = server_phase::ready;
     return report;
 }
 
@@ -72,10 +72,10 @@
 TEST_CASE("an entry with runs here, or that places, hears five times a second")
 {
     const report_pacing pacing({});
-    report_marks busy;
+    report_status busy;
     busy.busy = true;
-    report_marks placer;
-    placer.places = true;
+    report_status placer;
+    placer.is_placer = true;
     CHECK(pacing.heartbeat(busy, 55) == busy_report_interval);
     CHECK(pacing.heartbeat(placer, 55) == busy_report_interval);
     busy.reported = begin;
@@ -138,9 +138,9 @@
 TEST_CASE("an agent heeds the gap that an entry asks for")
 {
     const report_pacing pacing({});
-    const report_marks marks{false, true, begin, milliseconds{100}};
-    CHECK_FALSE(pacing.is_due(marks, 3, begin + milliseconds{50}));
-    CHECK(pacing.is_due(marks, 3, begin + milliseconds{100}));
+    const report_status status{false, true, begin, milliseconds{100}};
+    CHECK_FALSE(pacing.is_due(status, 3, begin + milliseconds{50}));
+    CHECK(pacing.is_due(status, 3, begin + milliseconds{100}));
 }
 
 TEST_CASE("ends are told at once, and something within each heartbeat")
@@ -148,7 +148,7 @@
     const report_pacing pacing({});
     CHECK(pacing.is_due({true, false, begin}, 12, begin));
     CHECK_FALSE(pacing.is_due({false, false, begin}, 12, begin));
-    report_marks with_runs{false, false, begin};
+    report_status with_runs{false, false, begin};
     with_runs.busy = true;
     CHECK(pacing.is_due(with_runs, 12, begin + milliseconds{200}));
     CHECK(pacing.is_due({false, false, begin}, 12, begin + milliseconds{960}));
@@ -158,13 +158,13 @@
 {
     agent_view view("agent-1");
     view.attached(whole_report());
-    runner_report report;
-    report.whole = false;
-    report.account.phase = runner_phase::draining;
-    report.room.used = {1600, 64, 0};
+    server_report report;
+    report.has_account = false;
+    report.account.phase = server_phase::draining;
+    report.load.used = {1600, 64, 0};
     view.reported(report);
     CHECK(view.account().service == "service-1");
     CHECK(view.account().capacity.cpu == 16000);
-    CHECK(view.account().phase == runner_phase::draining);
+    CHECK(view.account().phase == server_phase::draining);
     CHECK(view.used().cpu == 1600);
 }
--- a/tests/unit/runs/returned_server_tests.cpp
+++ b/tests/unit/runs/returned_server_tests.cpp
@@ -27,24 +27,24 @@
 constexpr std::int64_t second_born = first_born + 60'000;
 
 /// What an agent calls: answers wait unread while it stands still.
-class unread_answers final : public runner_port
+class delayed_answers final : public backend_server_client
 {
 public:
-    explicit unread_answers(runner_port& server) : server_(server) {}
+    explicit delayed_answers(backend_server_client& server) : server_(server) {}
 
     void start(const run_start& start, const order_context& context,
                order_handler done) override
     {
-        server_.start(start, context, kept<order_result>(std::move(done)));
+        server_.start(start, context, deferred<order_result>(std::move(done)));
     }
     void stop(const run_ref& run, const order_context& context,
               order_handler done) override
     {
-        server_.stop(run, context, kept<order_result>(std::move(done)));
+        server_.stop(run, context, deferred<order_result>(std::move(done)));
     }
     void hold(const hold_request& request, hold_handler done) override
     {
-        server_.hold(request, kept<hold_result>(std::move(done)));
+        server_.hold(request, deferred<hold_result>(std::move(done)));
     }
 
     void read()
@@ -53,41 +53,41 @@
             one();
     }
 
-    bool still = false; ///< Nobody reads.
+    bool paused = false; ///< Nobody reads.
 
 private:
     template <class Answer>
-    std::function<void(Answer)> kept(std::function<void(Answer)> done)
+    std::function<void(Answer)> deferred(std::function<void(Answer)> done)
     {
         return [this, done = std::move(done)](Answer answer)
         {
-            if (!still)
+            if (!paused)
                 return done(std::move(answer));
             unread_.push_back([done, answer = std::move(answer)]
                               { done(answer); });
         };
     }
 
-    runner_port& server_;                       ///< Answers.
+    backend_server_client& server_;             ///< Answers.
     std::vector<std::function<void()>> unread_; ///< In the order they came.
 };
 
 /// An agent that stands still at times, and its backend server, whose time
 /// goes on.
-struct returning_world
+struct restart_fixture
 {
-    returning_world()
+    restart_fixture()
     {
-        server.life = "server-1";
+        server.incarnation = "server-1";
         server.born_ms = first_born;
         server.clock_ahead = seconds{500};
         manager.begin();
     }
 
-    void registers(std::int64_t born, std::uint64_t sequence,
-                   runner_phase phase)
+    void register_server(std::int64_t born, std::uint64_t sequence,
+                         server_phase phase)
     {
-        runner_account account;
+        server_account account;
         account.service = "service-1";
         account.instance = "server-1";
         account.born_ms = born;
@@ -109,19 +109,19 @@
             agent_loop.advance(step);
             for (const auto& end : manager.take_ends(entry_lease))
             {
-                told.push_back(end);
+                received.push_back(end);
                 manager.confirm(end);
             }
         }
     }
 
     /// The agent's process gets no processor; none of its timers runs.
-    void stand_still(duration length)
+    void pause(duration length)
     {
-        port.still = true;
+        port.paused = true;
         server_loop.advance(length);
         agent_loop.clock.advance(length);
-        port.still = false;
+        port.paused = false;
     }
 
     static run_ref ref(std::uint32_t index)
@@ -138,9 +138,9 @@
     }
 
     /// The first life has done three tasks, and all of that is confirmed.
-    void live_once()
+    void complete_first_incarnation()
     {
-        registers(first_born, 40, runner_phase::ready);
+        register_server(first_born, 40, server_phase::ready);
         run(milliseconds{50});
         for (std::uint32_t index = 0; index < 3; ++index)
             order(index);
@@ -149,17 +149,17 @@
         for (std::uint32_t index = 0; index < 3; ++index)
             server.finish(ref(index), run_outcome::done);
         run(milliseconds{150});
-        REQUIRE(told.size() == 3);
+        REQUIRE(received.size() == 3);
         REQUIRE(server.confirmed == 3);
-        told.clear();
+        received.clear();
     }
 
     /// The server answers the look that is out, ends, and lives again.
-    void return_unseen()
+    void restart_unseen()
     {
-        stand_still(milliseconds{150});
+        pause(milliseconds{150});
         server.restart(second_born);
-        stand_still(milliseconds{500});
+        pause(milliseconds{500});
     }
 
     /// The next look leaves before anything else is read.
@@ -171,35 +171,35 @@
     void reads_sign_off() { manager.signed_off({"server-1", 0}); }
     void reads_registration()
     {
-        registers(second_born, 1, runner_phase::ready);
+        register_server(second_born, 1, server_phase::ready);
     }
 
     /// The new life takes work, and the ends of its runs are told.
-    void check_new_life()
+    void check_new_incarnation()
     {
         run(milliseconds{300});
         CHECK(server.confirmed == 0);
         CHECK(manager.account().born_ms == second_born);
-        CHECK(manager.account().phase == runner_phase::ready);
-        told.clear();
+        CHECK(manager.account().phase == server_phase::ready);
+        received.clear();
         order(3);
         run(milliseconds{50});
         REQUIRE(server.running.size() == 1);
         server.finish(ref(3), run_outcome::done);
         run(milliseconds{300});
-        REQUIRE(told.size() == 1);
-        CHECK(told[0].outcome == run_outcome::done);
-        CHECK(manager.stats().vanished == 0);
-        CHECK(manager.stats().marks_misread == 0);
+        REQUIRE(received.size() == 1);
+        CHECK(received[0].outcome == run_outcome::done);
+        CHECK(manager.stats().runs_missing == 0);
+        CHECK(manager.stats().misdelivered_acks == 0);
         CHECK(server.confirmed == 1);
     }
 
     manual_loop agent_loop;
     manual_loop server_loop;
-    fake_runner_port server{server_loop};
-    unread_answers port{server};
+    fake_backend_server server{server_loop};
+    delayed_answers port{server};
     run_manager manager{agent_loop.clock, port, agent_loop.delay(), 1000, {}};
-    std::vector<run_end> told; ///< To the entry, which confirmed them.
+    std::vector<run_end> received; ///< To the entry, which confirmed them.
 };
 
 } // namespace
@@ -207,68 +207,68 @@
 TEST_CASE("a server that left and returned unseen forgets no end unseen",
           "[returned_server]")
 {
-    returning_world world;
-    world.live_once();
-    world.registers(first_born, 41, runner_phase::draining);
-    world.run(milliseconds{20});
-    world.return_unseen();
+    restart_fixture fixture;
+    fixture.complete_first_incarnation();
+    fixture.register_server(first_born, 41, server_phase::draining);
+    fixture.run(milliseconds{20});
+    fixture.restart_unseen();
     SECTION("its last list is read first")
     {
-        world.reads_answers();
-        world.reads_sign_off();
-        world.reads_registration();
+        fixture.reads_answers();
+        fixture.reads_sign_off();
+        fixture.reads_registration();
     }
     SECTION("its sign-off is read first")
     {
-        world.reads_sign_off();
-        world.reads_answers();
-        world.reads_registration();
+        fixture.reads_sign_off();
+        fixture.reads_answers();
+        fixture.reads_registration();
     }
     SECTION("its last list is read after the new life's registration")
     {
-        world.reads_sign_off();
-        world.reads_registration();
-        world.reads_answers();
+        fixture.reads_sign_off();
+        fixture.reads_registration();
+        fixture.reads_answers();
     }
-    world.check_new_life();
+    fixture.check_new_incarnation();
 }
 
 TEST_CASE("a server that ended and returned unseen forgets no end unseen",
           "[returned_server]")
 {
-    returning_world world;
-    world.live_once();
-    world.run(milliseconds{20});
-    world.return_unseen();
+    restart_fixture fixture;
+    fixture.complete_first_incarnation();
+    fixture.run(milliseconds{20});
+    fixture.restart_unseen();
     SECTION("its last list is read first")
     {
-        world.reads_answers();
-        world.reads_registration();
+        fixture.reads_answers();
+        fixture.reads_registration();
     }
     SECTION("its last list is read after the new life's registration")
     {
-        world.reads_registration();
-        world.reads_answers();
+        fixture.reads_registration();
+        fixture.reads_answers();
     }
-    world.check_new_life();
+    fixture.check_new_incarnation();
 }
 
 TEST_CASE("an end that is listed while its agent stands still is told once",
           "[returned_server]")
 {
-    returning_world world;
-    world.live_once();
-    world.order(3);
-    world.run(milliseconds{50});
-    REQUIRE(world.server.running.size() == 1);
-    world.server.finish(world.ref(3), run_outcome::done);
-    world.stand_still(milliseconds{150});
-    world.server.restart(second_born);
-    world.stand_still(milliseconds{500});
-    world.reads_answers();
-    world.reads_registration();
-    world.run(milliseconds{300});
-    REQUIRE(world.told.size() == 1);
-    CHECK(world.told[0].outcome == run_outcome::done);
-    CHECK(world.server.confirmed == 0);
+    restart_fixture fixture;
+    fixture.complete_first_incarnation();
+    fixture.order(3);
+    fixture.run(milliseconds{50});
+    REQUIRE(fixture.server.running.size() == 1);
+    fixture.server.finish(fixture.ref(3), run_outcome::done);
+    fixture.pause(milliseconds{150});
+    fixture.server.restart(second_born);
+    fixture.pause(milliseconds{500});
+    fixture.reads_answers();
+    fixture.reads_registration();
+    fixture.run(milliseconds{300});
+    REQUIRE(fixture.received.size() == 1);
+    CHECK(fixture.received[0].outcome == run_outcome::done);
+    CHECK(fixture.server.confirmed == 0);
 }
--- /dev/null
+++ b/tests/unit/runs/run_manager_incarnations_tests.cpp
@@ -0,0 +1,258 @@
+// Lives of a backend server, and halls that get no new work.
+#include "glenhollow/runs/run_manager.hpp"
+#include "unit/support/fake_runner_port.hpp"
+
+#include <catch2/catch.hpp>
+
+using namespace glenhollow;
+
+namespace
+{
+
+constexpr lease_id entry_lease = memory_lease(0);
+
+/// An agent's manager with a backend server that knows which life it is.
+struct incarnation_fixture
+{
+    incarnation_fixture()
+    {
+        server.incarnation = "life-1";
+        make();
+    }
+
+    void make()
+    {
+        manager = std::make_unique<run_manager>(
+            loop.clock, server, loop.delay(), 1000, run_manager_settings{});
+        manager->begin();
+    }
+
+    static server_account account_of(const std::string& incarnation)
+    {
+        server_account account;
+        account.service = "service-1";
+        account.instance = incarnation;
+        account.zone = "hall-1";
+        account.capacity = {4000, 1000, 0};
+        account.phase = server_phase::ready;
+        return account;
+    }
+
+    void register_server(const std::string& incarnation)
+    {
+        manager->registered(account_of(incarnation));
+    }
+
+    void restore_server(const std::string& incarnation,
+                        server_phase phase = server_phase::ready)
+    {
+        auto account = account_of(incarnation);
+        account.phase = phase;
+        manager->restored(account);
+    }
+
+    void run(duration length)
+    {
+        constexpr duration step = milliseconds{10};
+        for (duration passed{}; passed < length; passed += step)
+        {
+            manager->renew(entry_lease, 0, loop.clock.now());
+            manager->tick();
+            loop.advance(step);
+        }
+    }
+
+    void order(std::uint32_t index)
+    {
+        run_order order;
+        order.run = {{42, 0, 0, index}, first_memory_run + 1};
+        order.needs = {1000, 10, 0};
+        manager->order(order, entry_lease);
+    }
+
+    /// Life 1 has registered, answers, and runs one task.
+    void run_one()
+    {
+        register_server("life-1");
+        run(milliseconds{20});
+        order(0);
+        run(milliseconds{20});
+        REQUIRE(server.running.size() == 1);
+    }
+
+    std::vector<run_end> ends() { return manager->take_ends(entry_lease); }
+
+    manual_loop loop;
+    fake_backend_server server{loop};
+    std::unique_ptr<run_manager> manager;
+};
+
+} // namespace
+
+TEST_CASE("a heartbeat of an ended life that comes late ends nothing")
+{
+    incarnation_fixture fixture;
+    fixture.run_one();
+    fixture.register_server("life-0"); // Held back by a cut.
+    fixture.run(milliseconds{200});
+    CHECK(fixture.manager->account().instance == "life-1");
+    CHECK(fixture.manager->account().phase == server_phase::ready);
+    CHECK(fixture.ends().empty());
+    CHECK(fixture.server.running.size() == 1);
+    CHECK(fixture.manager->stats().stale_registrations == 1);
+    fixture.order(1);
+    fixture.run(milliseconds{20});
+    CHECK(fixture.server.running.size() == 2);
+}
+
+TEST_CASE("a new life is taken as soon as it refuses a look for the last one")
+{
+    incarnation_fixture fixture;
+    fixture.run_one();
+    fixture.server.running.clear();
+    fixture.server.incarnation = "life-2";
+    fixture.register_server("life-2");
+    fixture.run(milliseconds{20});
+    CHECK(fixture.manager->account().instance == "life-2");
+    const auto received = fixture.ends();
+    REQUIRE(received.size() == 1);
+    CHECK(received[0].outcome == run_outcome::lapsed);
+    fixture.order(1);
+    fixture.run(milliseconds{20});
+    CHECK(fixture.server.running.size() == 1);
+}
+
+TEST_CASE("a new life is taken though no look is answered")
+{
+    incarnation_fixture fixture;
+    fixture.register_server("life-1");
+    fixture.run(milliseconds{20});
+    fixture.server.silent = true;
+    fixture.register_server("life-2");
+    fixture.run(milliseconds{500});
+    CHECK(fixture.manager->account().instance == "life-1"); // It may live.
+    fixture.run(milliseconds{1500});
+    CHECK(fixture.manager->account().instance == "life-2");
+}
+
+TEST_CASE("a restarted agent that hears an ended life first ends nothing")
+{
+    incarnation_fixture fixture;
+    fixture.run_one();
+    fixture.make(); // The agent knows its runs from looks alone.
+    fixture.run(milliseconds{20});
+    fixture.register_server("life-0");
+    fixture.run(milliseconds{50});
+    CHECK(fixture.manager->account().phase != server_phase::ready);
+    fixture.register_server("life-1");
+    fixture.run(milliseconds{50});
+    CHECK(fixture.manager->account().instance == "life-1");
+    CHECK(fixture.manager->account().phase == server_phase::ready);
+    const auto known = fixture.manager->adopt(entry_lease, 0);
+    CHECK(known.ends.empty());
+    CHECK(known.runs.size() == 1);
+    CHECK(fixture.server.running.size() == 1);
+}
+
+TEST_CASE("in an evacuated hall nothing starts, and what runs goes on")
+{
+    incarnation_fixture fixture;
+    fixture.run_one();
+    fixture.manager->evacuate(true);
+    CHECK(fixture.manager->account().phase == server_phase::draining);
+    fixture.order(1);
+    fixture.run(milliseconds{200});
+    CHECK(fixture.server.running.size() == 1);
+    const auto received = fixture.ends();
+    REQUIRE(received.size() == 1);
+    CHECK(received[0].outcome == run_outcome::not_begun);
+    fixture.register_server("life-1"); // Its heartbeats say that it is ready.
+    fixture.run(milliseconds{20});
+    CHECK(fixture.manager->account().phase == server_phase::draining);
+    fixture.manager->evacuate(false);
+    fixture.order(2);
+    fixture.run(milliseconds{20});
+    CHECK(fixture.server.running.size() == 2);
+}
+
+TEST_CASE("a backend server that leaves an evacuated hall stays draining")
+{
+    incarnation_fixture fixture;
+    fixture.register_server("life-1");
+    fixture.run(milliseconds{20});
+    fixture.manager->evacuate(true);
+    fixture.manager->drain();
+    fixture.manager->evacuate(false);
+    CHECK(fixture.manager->account().phase == server_phase::draining);
+}
+
+TEST_CASE("a restarted agent asks the life that it remembers, and takes work")
+{
+    // Heartbeats come each 1.5 s: until then nobody could start anything.
+    incarnation_fixture fixture;
+    fixture.make();
+    fixture.run(milliseconds{20});
+    CHECK(fixture.manager->account().phase != server_phase::ready);
+    fixture.restore_server("life-1");
+    fixture.run(milliseconds{20});
+    CHECK(fixture.manager->account().phase == server_phase::ready);
+    CHECK(fixture.manager->account().capacity.cpu == 4000);
+    fixture.order(0);
+    fixture.run(milliseconds{20});
+    CHECK(fixture.server.running.size() == 1);
+    fixture.register_server("life-1"); // Its heartbeat changes nothing.
+    fixture.run(milliseconds{20});
+    CHECK(fixture.manager->account().phase == server_phase::ready);
+    CHECK(fixture.server.running.size() == 1);
+    CHECK(fixture.manager->stats().restored_ended == 0);
+}
+
+TEST_CASE("a life that is remembered and has ended gets no work")
+{
+    incarnation_fixture fixture;
+    fixture.server.incarnation = "life-2";
+    fixture.make();
+    fixture.restore_server("life-1");
+    fixture.run(milliseconds{50});
+    CHECK(fixture.manager->account().phase == server_phase::absent);
+    CHECK(fixture.manager->account().instance.empty());
+    CHECK(fixture.manager->stats().restored_ended == 1);
+    fixture.register_server("life-2");
+    fixture.run(milliseconds{20});
+    CHECK(fixture.manager->account().phase == server_phase::ready);
+}
+
+TEST_CASE("a life that is remembered as draining gets no work")
+{
+    incarnation_fixture fixture;
+    fixture.make();
+    fixture.restore_server("life-1", server_phase::draining);
+    fixture.run(milliseconds{50});
+    CHECK(fixture.manager->account().phase == server_phase::draining);
+}
+
+TEST_CASE("a registration counts more than what is remembered")
+{
+    incarnation_fixture fixture;
+    fixture.make();
+    fixture.register_server("life-1");
+    fixture.restore_server("life-0");
+    fixture.run(milliseconds{20});
+    CHECK(fixture.manager->account().instance == "life-1");
+    fixture.manager->departed("life-1");
+    fixture.restore_server("life-1");
+    fixture.run(milliseconds{20});
+    CHECK(fixture.manager->account().instance.empty());
+}
+
+TEST_CASE("a silent backend server that is remembered gets no work")
+{
+    incarnation_fixture fixture;
+    fixture.server.silent = true;
+    fixture.make();
+    fixture.restore_server("life-1");
+    fixture.run(milliseconds{500});
+    CHECK(fixture.manager->account().phase == server_phase::absent);
+    fixture.register_server("life-2"); // Nobody speaks for the other one.
+    CHECK(fixture.manager->account().instance == "life-2");
+}
