--- a/tests/unit/runs/run_manager_tests.cpp
+++ b/tests/unit/runs/run_manager_tests.cpp
@@ -12,14 +12,14 @@
 constexpr std::uint32_t first_run = first_memory_run + 1;
 
 /// An agent's manager with a runner of 4 cores.
-struct manager_world
+struct manager_fixture
 {
-    manager_world()
+    manager_fixture()
     {
         account.service = "service-1";
         account.instance = "life-1";
         account.capacity = {4000, 1000, 0};
-        account.phase = runner_phase::ready;
+        account.phase = server_phase::ready;
         make();
         manager->registered(account);
         manager->begin();
@@ -29,7 +29,7 @@
     void make()
     {
         manager = std::make_unique<run_manager>(
-            loop.clock, runner, loop.delay(), 1000, run_manager_settings{});
+            loop.clock, server, loop.delay(), 1000, run_manager_settings{});
     }
 
     /// Lets time pass with an entry that answers, or with none.
@@ -74,8 +74,8 @@
     std::vector<run_end> ends() { return manager->take_ends(entry_lease); }
 
     manual_loop loop;
-    fake_runner_port runner{loop};
-    runner_account account;
+    fake_backend_server server{loop};
+    server_account account;
     std::unique_ptr<run_manager> manager;
 };
 
@@ -83,305 +83,305 @@
 
 TEST_CASE("starts stay within the runner's room, most urgent first")
 {
-    manager_world world;
+    manager_fixture fixture;
     for (std::uint32_t i = 0; i < 6; ++i)
-        world.order(manager_world::ref(i), 1000, 100 - i);
-    world.run(milliseconds{20});
-    CHECK(world.runner.running.size() == 4);
-    CHECK(world.manager->room().waiting == 2);
-    world.runner.finish(world.runner.running.front(), run_outcome::done);
-    world.run(milliseconds{250});
-    CHECK(world.runner.running.size() == 4);
-    CHECK(world.runner.running.back() == manager_world::ref(5));
+        fixture.order(manager_fixture::ref(i), 1000, 100 - i);
+    fixture.run(milliseconds{20});
+    CHECK(fixture.server.running.size() == 4);
+    CHECK(fixture.manager->load().waiting == 2);
+    fixture.server.finish(fixture.server.running.front(), run_outcome::done);
+    fixture.run(milliseconds{250});
+    CHECK(fixture.server.running.size() == 4);
+    CHECK(fixture.server.running.back() == manager_fixture::ref(5));
 }
 
 TEST_CASE("an end is told at once and confirmed to the runner only after")
 {
-    manager_world world;
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{20});
-    world.runner.finish(manager_world::ref(0), run_outcome::done);
-    world.run(milliseconds{250});
-    const auto told = world.ends();
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].outcome == run_outcome::done);
-    CHECK(world.runner.confirmed == 0);
-    world.manager->confirm(told[0]);
-    world.run(milliseconds{50});
-    CHECK(world.runner.confirmed == 1);
+    manager_fixture fixture;
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{20});
+    fixture.server.finish(manager_fixture::ref(0), run_outcome::done);
+    fixture.run(milliseconds{250});
+    const auto received = fixture.ends();
+    REQUIRE(received.size() == 1);
+    CHECK(received[0].outcome == run_outcome::done);
+    CHECK(fixture.server.confirmed == 0);
+    fixture.manager->confirm(received[0]);
+    fixture.run(milliseconds{50});
+    CHECK(fixture.server.confirmed == 1);
 }
 
 TEST_CASE("a start whose answer is lost is found running, not started again")
 {
-    manager_world world;
-    world.runner.lose_answers = 1;
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{600});
-    CHECK(world.runner.started[42] == 1);
-    CHECK(world.runner.stops == 0);
-    CHECK(world.ends().empty());
+    manager_fixture fixture;
+    fixture.server.lose_answers = 1;
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{600});
+    CHECK(fixture.server.started[42] == 1);
+    CHECK(fixture.server.stops == 0);
+    CHECK(fixture.ends().empty());
 }
 
 TEST_CASE("a start without an answer is barred before it counts as not begun")
 {
-    manager_world world;
-    world.runner.drop_orders = 1;
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{700});
-    const auto told = world.ends();
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].outcome == run_outcome::not_begun);
+    manager_fixture fixture;
+    fixture.server.drop_orders = 1;
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{700});
+    const auto received = fixture.ends();
+    REQUIRE(received.size() == 1);
+    CHECK(received[0].outcome == run_outcome::not_begun);
     // It arrives seconds later.
-    REQUIRE(world.runner.late_starts.size() == 1);
-    const auto& [run, context] = world.runner.late_starts.front();
-    CHECK(world.runner.begin(run, context) != order_outcome::done);
+    REQUIRE(fixture.server.late_starts.size() == 1);
+    const auto& [run, context] = fixture.server.late_starts.front();
+    CHECK(fixture.server.begin(run, context) != order_outcome::done);
 }
 
 TEST_CASE("a task whose start is lost is free to start elsewhere soon")
 {
     // Found on a day of late orders: each lost start took its room, and its
     // task's time, for half a second.
-    manager_world world;
-    world.runner.drop_orders = 1;
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{60});
-    const auto told = world.ends();
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].outcome == run_outcome::not_begun);
-    CHECK(world.manager->room().used.cpu == 0);
+    manager_fixture fixture;
+    fixture.server.drop_orders = 1;
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{60});
+    const auto received = fixture.ends();
+    REQUIRE(received.size() == 1);
+    CHECK(received[0].outcome == run_outcome::not_begun);
+    CHECK(fixture.manager->load().used.cpu == 0);
 }
 
 TEST_CASE("a stop that is lost as well is sent again")
 {
-    manager_world world;
-    world.runner.drop_orders = 2;
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{250});
-    const auto told = world.ends();
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].outcome == run_outcome::not_begun);
-    CHECK(world.runner.stops == 2);
+    manager_fixture fixture;
+    fixture.server.drop_orders = 2;
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{250});
+    const auto received = fixture.ends();
+    REQUIRE(received.size() == 1);
+    CHECK(received[0].outcome == run_outcome::not_begun);
+    CHECK(fixture.server.stops == 2);
 }
 
 TEST_CASE("an end is known soon although the answer to a look is lost")
 {
     // Found on a day of late orders: agents saw no ends for more than half of
     // the time, and the room of all that had ended stayed taken.
-    manager_world world;
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{20});
-    world.runner.drop_look = true;
-    world.run(milliseconds{110}); // The next look is lost.
-    REQUIRE_FALSE(world.runner.drop_look);
-    world.runner.finish(manager_world::ref(0), run_outcome::done);
-    world.run(milliseconds{150});
-    CHECK(world.ends().size() == 1);
-    CHECK(world.manager->stats().looks_lost == 1);
+    manager_fixture fixture;
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{20});
+    fixture.server.drop_poll = true;
+    fixture.run(milliseconds{110}); // The next look is lost.
+    REQUIRE_FALSE(fixture.server.drop_poll);
+    fixture.server.finish(manager_fixture::ref(0), run_outcome::done);
+    fixture.run(milliseconds{150});
+    CHECK(fixture.ends().size() == 1);
+    CHECK(fixture.manager->stats().polls_lost == 1);
 }
 
 TEST_CASE("with neither start nor stop answered, the start's deadline passes")
 {
-    manager_world world;
-    world.runner.drop_orders = 100;
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{900});
-    CHECK(world.ends().empty());
-    world.run(milliseconds{1500});
-    REQUIRE(world.ends().size() == 1);
-    const auto& [run, context] = world.runner.late_starts.front();
-    CHECK(world.runner.begin(run, context) == order_outcome::late);
+    manager_fixture fixture;
+    fixture.server.drop_orders = 100;
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{900});
+    CHECK(fixture.ends().empty());
+    fixture.run(milliseconds{1500});
+    REQUIRE(fixture.ends().size() == 1);
+    const auto& [run, context] = fixture.server.late_starts.front();
+    CHECK(fixture.server.begin(run, context) == order_outcome::late);
 }
 
 TEST_CASE("runs of a silent entry are stopped within their lease")
 {
-    manager_world world;
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{20});
-    REQUIRE(world.runner.running.size() == 1);
-    world.run(milliseconds{700}, false);
-    CHECK(world.runner.running.size() == 1);
-    world.run(milliseconds{400}, false);
-    CHECK(world.runner.running.empty());
-    world.run(seconds{11}, false);
-    CHECK(world.manager->ledger().empty());
+    manager_fixture fixture;
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{20});
+    REQUIRE(fixture.server.running.size() == 1);
+    fixture.run(milliseconds{700}, false);
+    CHECK(fixture.server.running.size() == 1);
+    fixture.run(milliseconds{400}, false);
+    CHECK(fixture.server.running.empty());
+    fixture.run(seconds{11}, false);
+    CHECK(fixture.manager->unconfirmed().empty());
 }
 
 TEST_CASE("where stops get no answer, the hold is left to lapse")
 {
-    manager_world world;
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{20});
-    world.runner.drop_orders = 1000;
-    world.run(milliseconds{2600}, false);
-    CHECK(world.runner.running.empty());
-    CHECK(world.manager->stats().lapses == 1);
+    manager_fixture fixture;
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{20});
+    fixture.server.drop_orders = 1000;
+    fixture.run(milliseconds{2600}, false);
+    CHECK(fixture.server.running.empty());
+    CHECK(fixture.manager->stats().lapses == 1);
 }
 
 TEST_CASE("an entry's next process ends what the last one had in memory")
 {
-    manager_world world;
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{20});
-    world.manager->expire(entry_lease);
-    world.run(milliseconds{20}, false);
-    CHECK(world.runner.running.empty());
+    manager_fixture fixture;
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{20});
+    fixture.manager->expire(entry_lease);
+    fixture.run(milliseconds{20}, false);
+    CHECK(fixture.server.running.empty());
 }
 
 TEST_CASE("nothing starts without a lease, and its entry is told so")
 {
-    manager_world world;
-    world.run(milliseconds{900}, false);
-    CHECK_FALSE(world.manager->leased(entry_lease));
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{700}, false);
-    CHECK(world.runner.running.empty());
-    world.run(milliseconds{20});
-    const auto told = world.ends();
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].outcome == run_outcome::not_begun);
-    CHECK(world.runner.running.empty());
+    manager_fixture fixture;
+    fixture.run(milliseconds{900}, false);
+    CHECK_FALSE(fixture.manager->is_leased(entry_lease));
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{700}, false);
+    CHECK(fixture.server.running.empty());
+    fixture.run(milliseconds{20});
+    const auto received = fixture.ends();
+    REQUIRE(received.size() == 1);
+    CHECK(received[0].outcome == run_outcome::not_begun);
+    CHECK(fixture.server.running.empty());
 }
 
 TEST_CASE("an order to an agent where its entry had nothing waits for a lease")
 {
     // Entries with nothing at an agent hear from it rarely, so that the lease
     // has run out by the time of the next order.
-    manager_world world;
-    world.run(milliseconds{900}, false);
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{300}, false);
-    CHECK(world.runner.running.empty());
-    CHECK(world.ends().empty());
-    world.run(milliseconds{20});
-    CHECK(world.runner.running.size() == 1);
+    manager_fixture fixture;
+    fixture.run(milliseconds{900}, false);
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{300}, false);
+    CHECK(fixture.server.running.empty());
+    CHECK(fixture.ends().empty());
+    fixture.run(milliseconds{20});
+    CHECK(fixture.server.running.size() == 1);
 }
 
 TEST_CASE("an order that was long on its way brings no lease with it")
 {
     // Its entry froze, or the link held it up, for longer than the lease that
     // it carries; the entry may have given this agent up meanwhile.
-    manager_world world;
-    world.run(milliseconds{2000}, false);
-    const auto now = world.loop.clock.now();
-    world.manager->renew(entry_lease, 0, now - milliseconds{900});
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{700}, false);
-    CHECK(world.runner.running.empty());
-    const auto told = world.ends();
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].outcome == run_outcome::not_begun);
+    manager_fixture fixture;
+    fixture.run(milliseconds{2000}, false);
+    const auto now = fixture.loop.clock.now();
+    fixture.manager->renew(entry_lease, 0, now - milliseconds{900});
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{700}, false);
+    CHECK(fixture.server.running.empty());
+    const auto received = fixture.ends();
+    REQUIRE(received.size() == 1);
+    CHECK(received[0].outcome == run_outcome::not_begun);
 }
 
 TEST_CASE("an order that brings a lease starts at once, for as long as that is")
 {
-    manager_world world;
-    world.run(milliseconds{2000}, false);
-    const auto now = world.loop.clock.now();
-    world.manager->renew(entry_lease, 0, now - milliseconds{2});
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{50}, false);
-    CHECK(world.runner.running.size() == 1);
-    world.run(milliseconds{1300}, false);
-    CHECK(world.runner.running.empty());
+    manager_fixture fixture;
+    fixture.run(milliseconds{2000}, false);
+    const auto now = fixture.loop.clock.now();
+    fixture.manager->renew(entry_lease, 0, now - milliseconds{2});
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{50}, false);
+    CHECK(fixture.server.running.size() == 1);
+    fixture.run(milliseconds{1300}, false);
+    CHECK(fixture.server.running.empty());
 }
 
 TEST_CASE("an order of an earlier session never starts in the next one")
 {
     // The entry may have given the session up and ordered the task elsewhere.
-    manager_world world;
-    world.run(milliseconds{900}, false);
-    world.order(manager_world::ref(0));
-    world.manager->refuse_waiting(entry_lease);
-    world.run(milliseconds{100});
-    CHECK(world.runner.running.empty());
-    const auto told = world.ends();
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].outcome == run_outcome::not_begun);
+    manager_fixture fixture;
+    fixture.run(milliseconds{900}, false);
+    fixture.order(manager_fixture::ref(0));
+    fixture.manager->refuse_waiting(entry_lease);
+    fixture.run(milliseconds{100});
+    CHECK(fixture.server.running.empty());
+    const auto received = fixture.ends();
+    REQUIRE(received.size() == 1);
+    CHECK(received[0].outcome == run_outcome::not_begun);
 }
 
 TEST_CASE("a lease is in use while its holder has a run or an end here")
 {
-    manager_world world;
-    CHECK(world.manager->leases_in_use().empty());
-    world.order(manager_world::ref(0));
-    CHECK(world.manager->leases_in_use() == std::set<lease_id>{entry_lease});
-    world.run(milliseconds{20});
-    CHECK(world.manager->leases_in_use() == std::set<lease_id>{entry_lease});
+    manager_fixture fixture;
+    CHECK(fixture.manager->leases_in_use().empty());
+    fixture.order(manager_fixture::ref(0));
+    CHECK(fixture.manager->leases_in_use() == std::set<lease_id>{entry_lease});
+    fixture.run(milliseconds{20});
+    CHECK(fixture.manager->leases_in_use() == std::set<lease_id>{entry_lease});
 }
 
 TEST_CASE("an entry that was silent for a while is told what was stopped")
 {
-    manager_world world;
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{20});
-    world.run(milliseconds{1500}, false);
-    REQUIRE(world.runner.running.empty());
-    world.run(milliseconds{50});
-    const auto told = world.ends();
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].outcome == run_outcome::stopped);
+    manager_fixture fixture;
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{20});
+    fixture.run(milliseconds{1500}, false);
+    REQUIRE(fixture.server.running.empty());
+    fixture.run(milliseconds{50});
+    const auto received = fixture.ends();
+    REQUIRE(received.size() == 1);
+    CHECK(received[0].outcome == run_outcome::stopped);
     // The runner was not held back meanwhile.
-    CHECK(world.runner.confirmed == 1);
+    CHECK(fixture.server.confirmed == 1);
 }
 
 TEST_CASE("a restarted agent starts nothing until it knows what runs")
 {
-    manager_world world;
-    world.order(manager_world::ref(0), 3000);
-    world.run(milliseconds{20});
-    REQUIRE(world.runner.running.size() == 1);
-    world.make();
-    world.manager->registered(world.account);
-    world.manager->begin();
-    world.run(milliseconds{20});
-    const auto known = world.manager->adopt(entry_lease, 0);
+    manager_fixture fixture;
+    fixture.order(manager_fixture::ref(0), 3000);
+    fixture.run(milliseconds{20});
+    REQUIRE(fixture.server.running.size() == 1);
+    fixture.make();
+    fixture.manager->registered(fixture.account);
+    fixture.manager->begin();
+    fixture.run(milliseconds{20});
+    const auto known = fixture.manager->adopt(entry_lease, 0);
     REQUIRE(known.runs.size() == 1);
-    CHECK_FALSE(known.runs[0].sized);
-    world.order(manager_world::ref(1), 3000);
-    world.run(milliseconds{50});
-    CHECK(world.runner.running.size() == 1);
+    CHECK_FALSE(known.runs[0].are_needs_known);
+    fixture.order(manager_fixture::ref(1), 3000);
+    fixture.run(milliseconds{50});
+    CHECK(fixture.server.running.size() == 1);
     run_order claimed;
-    claimed.run = manager_world::ref(0);
+    claimed.run = manager_fixture::ref(0);
     claimed.needs = {3000, 10, 0};
-    world.manager->size(claimed, entry_lease);
-    world.run(milliseconds{50});
-    CHECK(world.runner.running.size() == 1);
-    world.runner.finish(manager_world::ref(0), run_outcome::done);
-    world.run(milliseconds{300});
-    CHECK(world.runner.running.front() == manager_world::ref(1));
+    fixture.manager->size(claimed, entry_lease);
+    fixture.run(milliseconds{50});
+    CHECK(fixture.server.running.size() == 1);
+    fixture.server.finish(manager_fixture::ref(0), run_outcome::done);
+    fixture.run(milliseconds{300});
+    CHECK(fixture.server.running.front() == manager_fixture::ref(1));
 }
 
 TEST_CASE("found runs that nobody claims are stopped")
 {
-    manager_world world;
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{20});
-    world.make();
-    world.manager->registered(world.account);
-    world.manager->begin();
-    world.run(milliseconds{900});
-    CHECK(world.runner.running.empty());
+    manager_fixture fixture;
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{20});
+    fixture.make();
+    fixture.manager->registered(fixture.account);
+    fixture.manager->begin();
+    fixture.run(milliseconds{900});
+    CHECK(fixture.server.running.empty());
 }
 
 TEST_CASE("a part's end that nobody journals lets the hold lapse, once")
 {
-    manager_world world;
-    const run_ref kept{{42, 0, 0, 0}, 1};
+    manager_fixture fixture;
+    const run_ref durable_run{{42, 0, 0, 0}, 1};
     const auto part = part_of(42, run_manager_settings{}.parts);
-    world.manager->adopt(part, 1);
-    world.manager->renew(part, 1, world.loop.clock.now());
+    fixture.manager->adopt(part, 1);
+    fixture.manager->renew(part, 1, fixture.loop.clock.now());
     run_order order;
-    order.run = kept;
+    order.run = durable_run;
     order.epoch = 1;
     order.needs = {1000, 10, 0};
-    world.manager->order(order, entry_lease);
-    world.run(milliseconds{20});
-    REQUIRE(world.runner.running.size() == 1);
-    world.runner.finish(kept, run_outcome::done);
-    world.run(seconds{6});
-    CHECK(world.manager->stats().lapses == 1);
+    fixture.manager->order(order, entry_lease);
+    fixture.run(milliseconds{20});
+    REQUIRE(fixture.server.running.size() == 1);
+    fixture.server.finish(durable_run, run_outcome::done);
+    fixture.run(seconds{6});
+    CHECK(fixture.manager->stats().lapses == 1);
     // A successor is still told of it.
-    const auto known = world.manager->adopt(part, 2);
+    const auto known = fixture.manager->adopt(part, 2);
     REQUIRE(known.ends.size() == 1);
     CHECK(known.ends[0].outcome == run_outcome::done);
 }
@@ -390,23 +390,23 @@
 {
     // The later owner may have had the task done elsewhere, by a run that its
     // own successor has yet to hear of.
-    manager_world world;
+    manager_fixture fixture;
     const auto part = part_of(42, run_manager_settings{}.parts);
-    world.manager->adopt(part, 1);
+    fixture.manager->adopt(part, 1);
     run_order order;
     order.run = {{42, 0, 0, 0}, 1};
     order.epoch = 1;
     order.needs = {1000, 10, 0};
-    world.manager->order(order, entry_lease);
-    world.run(milliseconds{20});
-    REQUIRE(world.runner.started.empty());
-    const auto known = world.manager->adopt(part, 3);
+    fixture.manager->order(order, entry_lease);
+    fixture.run(milliseconds{20});
+    REQUIRE(fixture.server.started.empty());
+    const auto known = fixture.manager->adopt(part, 3);
     CHECK(known.runs.empty());
     REQUIRE(known.ends.size() == 1);
     CHECK(known.ends[0].outcome == run_outcome::not_begun);
-    world.manager->renew(part, 3, world.loop.clock.now());
-    world.run(milliseconds{20});
-    CHECK(world.runner.started.empty());
+    fixture.manager->renew(part, 3, fixture.loop.clock.now());
+    fixture.run(milliseconds{20});
+    CHECK(fixture.server.started.empty());
 }
 
 TEST_CASE("an order that waits does not begin for an owner that attaches again")
@@ -416,174 +416,174 @@
     // renewed its lease, and the task began here too, 222 ms after the other
     // run: the owner's stop was still on its way. Seen in the soak, whose plan
     // is same_owner.
-    manager_world world;
+    manager_fixture fixture;
     const auto part = part_of(42, run_manager_settings{}.parts);
-    world.manager->adopt(part, 1);
+    fixture.manager->adopt(part, 1);
     run_order order;
     order.run = {{42, 0, 0, 0}, 1};
     order.epoch = 1;
     order.needs = {1000, 10, 0};
-    world.manager->order(order, entry_lease);
-    world.run(milliseconds{20});
-    REQUIRE(world.runner.started.empty());
-    const auto known = world.manager->adopt(part, 1);
+    fixture.manager->order(order, entry_lease);
+    fixture.run(milliseconds{20});
+    REQUIRE(fixture.server.started.empty());
+    const auto known = fixture.manager->adopt(part, 1);
     CHECK(known.runs.empty());
     REQUIRE(known.ends.size() == 1);
     CHECK(known.ends[0].outcome == run_outcome::not_begun);
-    world.manager->renew(part, 1, world.loop.clock.now());
-    world.run(milliseconds{20});
-    CHECK(world.runner.started.empty());
+    fixture.manager->renew(part, 1, fixture.loop.clock.now());
+    fixture.run(milliseconds{20});
+    CHECK(fixture.server.started.empty());
 }
 
 TEST_CASE("an earlier owner of a part is declined and its orders refused")
 {
-    manager_world world;
+    manager_fixture fixture;
     const auto part = part_of(42, run_manager_settings{}.parts);
-    world.manager->adopt(part, 5);
-    CHECK(world.manager->adopt(part, 4).declined);
-    world.manager->renew(part, 5, world.loop.clock.now());
+    fixture.manager->adopt(part, 5);
+    CHECK(fixture.manager->adopt(part, 4).declined);
+    fixture.manager->renew(part, 5, fixture.loop.clock.now());
     run_order order;
     order.run = {{42, 0, 0, 0}, 1};
     order.epoch = 4;
     order.needs = {1000, 10, 0};
-    world.manager->order(order, entry_lease);
-    world.run(milliseconds{20});
-    CHECK(world.runner.running.empty());
+    fixture.manager->order(order, entry_lease);
+    fixture.run(milliseconds{20});
+    CHECK(fixture.server.running.empty());
 }
 
 TEST_CASE("another life of the runner ends what the last one ran")
 {
-    manager_world world;
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{20});
-    auto next = world.account;
+    manager_fixture fixture;
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{20});
+    auto next = fixture.account;
     next.instance = "life-2";
-    world.runner.running.clear();
-    world.runner.life = "life-2";
-    world.manager->registered(next);
-    world.run(milliseconds{10}); // Until a look has met the new life.
-    const auto told = world.ends();
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].outcome == run_outcome::lapsed);
-    CHECK(told[0].number == 0);
+    fixture.server.running.clear();
+    fixture.server.incarnation = "life-2";
+    fixture.manager->registered(next);
+    fixture.run(milliseconds{10}); // Until a look has met the new life.
+    const auto received = fixture.ends();
+    REQUIRE(received.size() == 1);
+    CHECK(received[0].outcome == run_outcome::lapsed);
+    CHECK(received[0].number == 0);
 }
 
 TEST_CASE("a draining runner gets no new work and its orders come back")
 {
-    manager_world world;
-    auto leaving = world.account;
-    leaving.phase = runner_phase::draining;
-    world.manager->registered(leaving);
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{20});
-    CHECK(world.runner.running.empty());
-    REQUIRE(world.ends().size() == 1);
+    manager_fixture fixture;
+    auto leaving = fixture.account;
+    leaving.phase = server_phase::draining;
+    fixture.manager->registered(leaving);
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{20});
+    CHECK(fixture.server.running.empty());
+    REQUIRE(fixture.ends().size() == 1);
 }
 
 TEST_CASE("a runner that answers nothing is absent and its runs lapse")
 {
-    manager_world world;
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{20});
-    world.runner.silent = true;
-    world.run(milliseconds{3000});
-    CHECK(world.manager->account().phase == runner_phase::absent);
-    const auto told = world.ends();
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].outcome == run_outcome::lapsed);
+    manager_fixture fixture;
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{20});
+    fixture.server.silent = true;
+    fixture.run(milliseconds{3000});
+    CHECK(fixture.manager->account().phase == server_phase::absent);
+    const auto received = fixture.ends();
+    REQUIRE(received.size() == 1);
+    CHECK(received[0].outcome == run_outcome::lapsed);
 }
 
 TEST_CASE("a runner that refuses starts is left alone for a while")
 {
     // Found in an incident: two such runners looked empty, and each task went
     // from one to the other every two milliseconds.
-    manager_world world;
-    world.runner.refuse = true;
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{20});
-    REQUIRE(world.ends().size() == 1);
-    CHECK(world.manager->account().phase == runner_phase::absent);
-    world.order(manager_world::ref(1));
-    world.run(milliseconds{20});
-    CHECK(world.runner.refusals == 1);
-    world.run(milliseconds{400});
-    CHECK(world.manager->account().phase == runner_phase::ready);
-    world.runner.refuse = false;
-    world.order(manager_world::ref(2));
-    world.run(milliseconds{20});
-    CHECK(world.runner.running.size() == 1);
+    manager_fixture fixture;
+    fixture.server.refuse = true;
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{20});
+    REQUIRE(fixture.ends().size() == 1);
+    CHECK(fixture.manager->account().phase == server_phase::absent);
+    fixture.order(manager_fixture::ref(1));
+    fixture.run(milliseconds{20});
+    CHECK(fixture.server.refusals == 1);
+    fixture.run(milliseconds{400});
+    CHECK(fixture.manager->account().phase == server_phase::ready);
+    fixture.server.refuse = false;
+    fixture.order(manager_fixture::ref(2));
+    fixture.run(milliseconds{20});
+    CHECK(fixture.server.running.size() == 1);
 }
 
 TEST_CASE("a runner that stands still loses its runs and gets no more")
 {
     // Found on alpenfluss-nom-grown: callers left before any run counted as
     // stalled, so that nobody ever learned of such runners.
-    manager_world world;
-    world.runner.stands_still = true;
+    manager_fixture fixture;
+    fixture.server.makes_no_progress = true;
     for (job_id job = 1; job <= 4; ++job)
-        world.order_of_job(job);
-    world.run(milliseconds{400});
-    CHECK(world.manager->account().phase == runner_phase::absent);
-    CHECK(world.runner.running.empty());
-    CHECK(world.manager->stats().stalled == 4);
-    world.order_of_job(5);
-    CHECK(world.manager->stats().not_begun == 1);
+        fixture.order_of_job(job);
+    fixture.run(milliseconds{400});
+    CHECK(fixture.manager->account().phase == server_phase::absent);
+    CHECK(fixture.server.running.empty());
+    CHECK(fixture.manager->stats().stalled == 4);
+    fixture.order_of_job(5);
+    CHECK(fixture.manager->stats().not_begun == 1);
     // One at a time on probation, until it is sound again.
-    world.runner.stands_still = false;
-    world.run(milliseconds{500});
-    CHECK(world.manager->account().phase == runner_phase::ready);
-    const auto probe = world.order_of_job(6);
-    world.order_of_job(7);
-    world.run(milliseconds{50});
-    CHECK(world.runner.running == std::vector<run_ref>{probe});
-    world.runner.finish(probe, run_outcome::done);
-    world.run(milliseconds{50});
-    const auto second = world.order_of_job(8);
-    world.run(milliseconds{50});
-    world.runner.finish(second, run_outcome::done);
-    world.run(milliseconds{50});
-    world.order_of_job(9);
-    world.order_of_job(10);
-    world.run(milliseconds{50});
-    CHECK(world.runner.running.size() == 2);
+    fixture.server.makes_no_progress = false;
+    fixture.run(milliseconds{500});
+    CHECK(fixture.manager->account().phase == server_phase::ready);
+    const auto probe = fixture.order_of_job(6);
+    fixture.order_of_job(7);
+    fixture.run(milliseconds{50});
+    CHECK(fixture.server.running == std::vector<run_ref>{probe});
+    fixture.server.finish(probe, run_outcome::done);
+    fixture.run(milliseconds{50});
+    const auto second = fixture.order_of_job(8);
+    fixture.run(milliseconds{50});
+    fixture.server.finish(second, run_outcome::done);
+    fixture.run(milliseconds{50});
+    fixture.order_of_job(9);
+    fixture.order_of_job(10);
+    fixture.run(milliseconds{50});
+    CHECK(fixture.server.running.size() == 2);
 }
 
 TEST_CASE("a run that shows progress is never taken for a stalled one")
 {
-    manager_world world;
+    manager_fixture fixture;
     for (job_id job = 1; job <= 4; ++job)
-        world.order_of_job(job);
-    world.run(seconds{3});
-    CHECK(world.runner.running.size() == 4);
-    CHECK(world.manager->stats().stalled == 0);
+        fixture.order_of_job(job);
+    fixture.run(seconds{3});
+    CHECK(fixture.server.running.size() == 4);
+    CHECK(fixture.manager->stats().stalled == 0);
 }
 
 TEST_CASE("looks that are not answered do not make a run stalled")
 {
-    manager_world world;
-    world.order_of_job(1);
-    world.run(milliseconds{50});
-    world.runner.silent = true;
-    world.run(milliseconds{500});
-    CHECK(world.manager->stats().stalled == 0);
+    manager_fixture fixture;
+    fixture.order_of_job(1);
+    fixture.run(milliseconds{50});
+    fixture.server.silent = true;
+    fixture.run(milliseconds{500});
+    CHECK(fixture.manager->stats().stalled == 0);
 }
 
 TEST_CASE("the runner is looked at as soon as no end is unconfirmed")
 {
     // Ends that were not confirmed yet made looks return at once, so these
     // were 8 ms apart; the next end waited for the next look.
-    manager_world world;
-    world.order(manager_world::ref(0));
-    world.run(milliseconds{20});
-    world.runner.finish(manager_world::ref(0), run_outcome::done);
-    while (!world.manager->ledger().waits())
-        world.loop.advance(milliseconds{1});
-    const auto told = world.ends();
-    REQUIRE(told.size() == 1);
-    world.loop.advance(milliseconds{2});
-    const auto before = world.runner.looks;
-    world.manager->confirm(told[0]);
-    CHECK(world.runner.looks == before + 1);
-    world.loop.advance(milliseconds{20});
-    CHECK(world.runner.looks == before + 1); // It waits for an end.
+    manager_fixture fixture;
+    fixture.order(manager_fixture::ref(0));
+    fixture.run(milliseconds{20});
+    fixture.server.finish(manager_fixture::ref(0), run_outcome::done);
+    while (!fixture.manager->unconfirmed().has_unsettled())
+        fixture.loop.advance(milliseconds{1});
+    const auto received = fixture.ends();
+    REQUIRE(received.size() == 1);
+    fixture.loop.advance(milliseconds{2});
+    const auto before = fixture.server.polls;
+    fixture.manager->confirm(received[0]);
+    CHECK(fixture.server.polls == before + 1);
+    fixture.loop.advance(milliseconds{20});
+    CHECK(fixture.server.polls == before + 1); // It waits for an end.
 }
--- a/tests/unit/runs/run_wire_tests.cpp
+++ b/tests/unit/runs/run_wire_tests.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-runner_report over_wire(const runner_report& report)
+server_report over_wire(const server_report& report)
 {
     capnp::MallocMessageBuilder message;
     auto out = message.initRoot<wire::RunnerState>();
@@ -20,25 +20,25 @@
 
 TEST_CASE("times and pace of a server travel with reports of room alone")
 {
-    runner_report report;
-    report.whole = false;
-    report.room.leaves_in = milliseconds{1800};
-    report.room.cold = milliseconds{250};
-    report.room.pace = 1.625;
+    server_report report;
+    report.has_account = false;
+    report.load.leaves_in = milliseconds{1800};
+    report.load.cold = milliseconds{250};
+    report.load.pace = 1.625;
     const auto got = over_wire(report);
-    REQUIRE(got.room.leaves_in);
-    CHECK(*got.room.leaves_in == milliseconds{1800});
-    CHECK(got.room.cold == milliseconds{250});
-    CHECK(got.room.pace == Approx(1.625));
+    REQUIRE(got.load.leaves_in);
+    CHECK(*got.load.leaves_in == milliseconds{1800});
+    CHECK(got.load.cold == milliseconds{250});
+    CHECK(got.load.pace == Approx(1.625));
 }
 
 TEST_CASE("a server that leaves at once is told apart from one that stays")
 {
-    runner_report report;
-    CHECK_FALSE(over_wire(report).room.leaves_in);
-    report.room.leaves_in = duration{0};
-    REQUIRE(over_wire(report).room.leaves_in);
-    CHECK(over_wire(report).room.leaves_in->count() == 0);
+    server_report report;
+    CHECK_FALSE(over_wire(report).load.leaves_in);
+    report.load.leaves_in = duration{0};
+    REQUIRE(over_wire(report).load.leaves_in);
+    CHECK(over_wire(report).load.leaves_in->count() == 0);
 }
 
 TEST_CASE("what an order expects and how long it is of use travel with it")
@@ -56,9 +56,10 @@
 
 TEST_CASE("which life of its id a server is in travels with its account")
 {
-    runner_report report;
-    report.whole = true;
+    server_report report;
+    report.has_account = true;
     report.account.instance = "server-1";
     report.account.born_ms = 1'750'000'000'123;
-    CHECK(over_wire(report).account.life() == report.account.life());
+    CHECK(over_wire(report).account.incarnation() ==
+          report.account.incarnation());
 }
--- a/tests/unit/runs/runner_memo_tests.cpp
+++ b/tests/unit/runs/server_account_json_tests.cpp
@@ -1,5 +1,5 @@
 // What an agent's next process needs to ask its backend server.
-#include "glenhollow/runs/runner_memo.hpp"
+#include "glenhollow/runs/server_account_json.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -7,7 +7,7 @@
 
 TEST_CASE("a memo of a backend server is read as it was written")
 {
-    runner_account account;
+    server_account account;
     account.service = "service-1";
     account.instance = "life-1";
     account.born_ms = 1'750'000'000'123;
@@ -15,27 +15,27 @@
     account.zone = "hall-1";
     account.labels = {"kind-a", "rack-2"};
     account.capacity = {4000, 1000, 2};
-    account.phase = runner_phase::draining;
-    const auto read = decode_runner_memo(encode_runner_memo(account));
+    account.phase = server_phase::draining;
+    const auto read = decode_server_account(encode_server_account(account));
     REQUIRE(read);
     CHECK(read.value().service == "service-1");
-    CHECK(read.value().life() == account.life());
+    CHECK(read.value().incarnation() == account.incarnation());
     CHECK(read.value().sequence == 17);
     CHECK(read.value().zone == "hall-1");
     CHECK(read.value().labels == account.labels);
     CHECK(read.value().capacity.cpu == 4000);
     CHECK(read.value().capacity.memory == 1000);
     CHECK(read.value().capacity.gpu == 2);
-    CHECK(read.value().phase == runner_phase::draining);
+    CHECK(read.value().phase == server_phase::draining);
 }
 
 TEST_CASE("a memo of before, without the start of the life, is read")
 {
-    const auto read = decode_runner_memo(
+    const auto read = decode_server_account(
         R"({"service":"s","instance":"i","zone":"z","labels":[],)"
         R"("room":[1,2,3],"phase":"ready"})");
     REQUIRE(read);
-    CHECK(read.value().life() == server_life{"i", 0});
+    CHECK(read.value().incarnation() == server_incarnation{"i", 0});
     CHECK(read.value().sequence == 0);
 }
 
@@ -55,6 +55,6 @@
           R"("room":[1,2,3],"phase":"ready","born_ms":5})"})
     {
         INFO(memo);
-        CHECK_FALSE(decode_runner_memo(memo));
+        CHECK_FALSE(decode_server_account(memo));
     }
 }
--- a/tests/unit/runs/runner_breaker_tests.cpp
+++ b/tests/unit/runs/server_breaker_tests.cpp
@@ -1,4 +1,4 @@
-#include "glenhollow/runs/runner_breaker.hpp"
+#include "glenhollow/runs/server_breaker.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -10,12 +10,12 @@
 constexpr instant begin = seconds{10};
 
 /// @return A breaker that three bad ends of two jobs have opened.
-runner_breaker opened()
+server_breaker opened()
 {
-    runner_breaker breaker({});
-    breaker.note_end(1, true, begin);
-    breaker.note_end(2, true, begin);
-    REQUIRE(breaker.note_end(2, true, begin));
+    server_breaker breaker({});
+    breaker.record_end(1, true, begin);
+    breaker.record_end(2, true, begin);
+    REQUIRE(breaker.record_end(2, true, begin));
     return breaker;
 }
 
@@ -30,19 +30,19 @@
 
 TEST_CASE("one job that fails everywhere says nothing of a runner")
 {
-    runner_breaker breaker({});
+    server_breaker breaker({});
     for (int i = 0; i < 10; ++i)
-        CHECK_FALSE(breaker.note_end(1, true, begin));
+        CHECK_FALSE(breaker.record_end(1, true, begin));
     CHECK(breaker.state(begin) == breaker_state::closed);
 }
 
 TEST_CASE("a good end between bad ones keeps a runner at work")
 {
-    runner_breaker breaker({});
+    server_breaker breaker({});
     for (job_id job = 1; job < 10; ++job)
     {
-        breaker.note_end(job, true, begin);
-        breaker.note_end(job, false, begin);
+        breaker.record_end(job, true, begin);
+        breaker.record_end(job, false, begin);
     }
     CHECK(breaker.state(begin) == breaker_state::closed);
 }
@@ -51,12 +51,12 @@
 {
     auto breaker = opened();
     const auto probe = begin + milliseconds{500};
-    CHECK_FALSE(breaker.note_end(3, false, begin + milliseconds{100}));
-    CHECK(breaker.note_end(4, true, probe));
+    CHECK_FALSE(breaker.record_end(3, false, begin + milliseconds{100}));
+    CHECK(breaker.record_end(4, true, probe));
     CHECK(breaker.state(probe + milliseconds{790}) == breaker_state::open);
     const auto later = probe + milliseconds{810};
-    CHECK_FALSE(breaker.note_end(5, false, later));
-    CHECK(breaker.note_end(6, false, later));
+    CHECK_FALSE(breaker.record_end(5, false, later));
+    CHECK(breaker.record_end(6, false, later));
     CHECK(breaker.state(later) == breaker_state::closed);
 }
 
@@ -68,6 +68,6 @@
     {
         now += seconds{2};
         REQUIRE(breaker.state(now) == breaker_state::probing);
-        breaker.note_end(7, true, now);
+        breaker.record_end(7, true, now);
     }
 }
--- a/tests/unit/runs/clock_of_life_tests.cpp
+++ b/tests/unit/runs/server_clock_reset_tests.cpp
@@ -17,22 +17,22 @@
           "[clock_of_life]")
 {
     manual_loop loop;
-    fake_runner_port server{loop};
+    fake_backend_server server{loop};
     server.born_ms = 1;
     run_manager manager{loop.clock, server, loop.delay(), 1000, {}};
-    runner_account account;
+    server_account account;
     account.service = "service-1";
     account.instance = "life-1";
     account.born_ms = 1;
     account.capacity = {8000, 1000, 0};
-    account.phase = runner_phase::ready;
+    account.phase = server_phase::ready;
     manager.registered(account);
     manager.begin();
     loop.advance(seconds{5});
     CHECK(server.held_until > server.now_ms());
-    server.ended = true;
+    server.unreachable = true;
     loop.advance(milliseconds{300});
-    server.ended = false;
+    server.unreachable = false;
     server.restart(2);
     for (int i = 0; i < 50; ++i)
     {
--- a/tests/unit/runs/server_pace_tests.cpp
+++ b/tests/unit/runs/server_pace_tests.cpp
@@ -15,7 +15,7 @@
         server_pace pace;
         CHECK_FALSE(pace.known());
         for (int i = 0; i < 8; ++i)
-            pace.note(guess(engine) / 0.6);
+            pace.record(guess(engine) / 0.6);
         CHECK(pace.known());
         CHECK(pace.value() > 1.35);
         CHECK(pace.value() < 2.1);
@@ -26,8 +26,8 @@
 {
     server_pace pace;
     for (int i = 0; i < 20; ++i)
-        pace.note(1.0);
-    pace.note(15.0); // The agent was paused while it ended.
+        pace.record(1.0);
+    pace.record(15.0); // The agent was paused while it ended.
     CHECK(pace.value() < 1.05);
 }
 
@@ -35,9 +35,9 @@
 {
     server_pace pace;
     for (int i = 0; i < 100; ++i)
-        pace.note(1.0);
+        pace.record(1.0);
     for (int i = 0; i < 60; ++i)
-        pace.note(2.0);
+        pace.record(2.0);
     CHECK(pace.value() > 1.8);
 }
 
@@ -45,7 +45,7 @@
 {
     server_pace pace;
     for (int i = 0; i < 4; ++i)
-        pace.note(i % 2 == 0 ? 1.33 : 1 / 1.33);
+        pace.record(i % 2 == 0 ? 1.33 : 1 / 1.33);
     CHECK(pace.value() == Approx(1.0));
 }
 
@@ -53,7 +53,7 @@
 {
     server_pace pace;
     for (int i = 0; i < 4; ++i)
-        pace.note(3.0);
+        pace.record(3.0);
     pace.reset();
     CHECK_FALSE(pace.known());
     CHECK(pace.value() == Approx(1.0));
--- a/tests/unit/runs/suspended_machine_tests.cpp
+++ b/tests/unit/runs/suspended_machine_tests.cpp
@@ -16,22 +16,22 @@
 
 constexpr lease_id entry_lease = memory_lease(0);
 
-struct suspended_world
+struct suspension_fixture
 {
-    suspended_world()
+    suspension_fixture()
     {
-        runner_account account;
+        server_account account;
         account.service = "service-1";
         account.instance = "life-1";
         account.capacity = {8000, 1000, 0};
-        account.phase = runner_phase::ready;
+        account.phase = server_phase::ready;
         manager.registered(account);
         manager.begin();
-        pass(milliseconds{20});
+        run(milliseconds{20});
     }
 
     /// @param renewed Whether the entry answers.
-    void pass(duration length, bool renewed = true)
+    void run(duration length, bool renewed = true)
     {
         constexpr duration step = milliseconds{5};
         for (duration passed{}; passed < length; passed += step)
@@ -50,7 +50,7 @@
         order.needs = {1000, 10, 0};
         order.estimate_ms = 60'000; // Progress is not judged here.
         manager.order(order, entry_lease);
-        pass(milliseconds{100});
+        run(milliseconds{100});
         return order.run;
     }
 
@@ -68,7 +68,7 @@
     }
 
     manual_loop loop;
-    fake_runner_port server{loop};
+    fake_backend_server server{loop};
     run_manager manager{loop.clock, server, loop.delay(), 1000, {}};
 };
 
@@ -76,42 +76,42 @@
 
 TEST_CASE("a suspension does not lengthen a server's hold", "[suspended]")
 {
-    suspended_world world;
-    const auto run = world.order();
-    REQUIRE(world.runs(run));
+    suspension_fixture fixture;
+    const auto run = fixture.order();
+    REQUIRE(fixture.runs(run));
     for (int i = 0; i < 5; ++i)
     {
         // Shorter than the lease: what runs goes on.
-        world.loop.clock.suspend(milliseconds{600});
+        fixture.loop.clock.suspend(milliseconds{600});
         for (int step = 0; step < 20; ++step)
         {
-            world.pass(milliseconds{5});
-            REQUIRE(world.held_for() <= longest_hold);
+            fixture.run(milliseconds{5});
+            REQUIRE(fixture.held_for() <= max_hold);
         }
-        REQUIRE(world.runs(run));
+        REQUIRE(fixture.runs(run));
     }
 }
 
 TEST_CASE("what a suspended server goes on with is not told as lapsed",
           "[suspended]")
 {
-    suspended_world world;
-    const auto run = world.order();
+    suspension_fixture fixture;
+    const auto run = fixture.order();
     // Neither looks nor stops get through from now on.
-    world.server.silent = true;
-    world.server.drop_orders = 1000;
-    world.pass(milliseconds{200});
-    REQUIRE(world.runs(run));
-    world.loop.clock.suspend(seconds{3});
-    while (world.held_for() > duration{0})
+    fixture.server.silent = true;
+    fixture.server.drop_orders = 1000;
+    fixture.run(milliseconds{200});
+    REQUIRE(fixture.runs(run));
+    fixture.loop.clock.suspend(seconds{3});
+    while (fixture.held_for() > duration{0})
     {
-        REQUIRE(world.manager.take_ends(entry_lease).empty());
-        world.pass(milliseconds{5}, false);
+        REQUIRE(fixture.manager.take_ends(entry_lease).empty());
+        fixture.run(milliseconds{5}, false);
     }
-    world.server.lapse();
-    REQUIRE_FALSE(world.runs(run));
-    world.pass(seconds{1}, false);
-    const auto ends = world.manager.take_ends(entry_lease);
+    fixture.server.lapse();
+    REQUIRE_FALSE(fixture.runs(run));
+    fixture.run(seconds{1}, false);
+    const auto ends = fixture.manager.take_ends(entry_lease);
     REQUIRE(ends.size() == 1);
     CHECK(ends.front().outcome == run_outcome::lapsed);
 }
@@ -124,39 +124,39 @@
     for (const auto length : {100, 200, 300, 500, 700})
     {
         INFO("suspended for " << length << " ms");
-        suspended_world world;
+        suspension_fixture fixture;
         // The entry's last word is of before the suspension.
-        const auto told = world.loop.clock.now();
-        world.manager.renew(entry_lease, 0, told);
-        world.loop.clock.suspend(milliseconds{length});
+        const auto received = fixture.loop.clock.now();
+        fixture.manager.renew(entry_lease, 0, received);
+        fixture.loop.clock.suspend(milliseconds{length});
         run_order order;
         order.run = {{1, 0, 0, 0}, first_memory_run + 1};
         order.needs = {1000, 10, 0};
-        world.manager.order(order, entry_lease);
-        world.loop.advance(milliseconds{10});
-        const auto ends = world.loop.clock.now() + world.held_for();
-        CHECK((!world.runs(order.run) ||
-               ends <= told + limits.memory_lease + held_past_lease));
+        fixture.manager.order(order, entry_lease);
+        fixture.loop.advance(milliseconds{10});
+        const auto ends = fixture.loop.clock.now() + fixture.held_for();
+        CHECK((!fixture.runs(order.run) ||
+               ends <= received + limits.memory_lease + held_past_lease));
     }
 }
 
 TEST_CASE("a run that was suspended with its server has not stood still",
           "[suspended]")
 {
-    suspended_world world;
+    suspension_fixture fixture;
     run_order order;
     order.run = {{1, 0, 0, 0}, first_memory_run + 1};
     order.needs = {1000, 10, 0};
     order.estimate_ms = 600;
-    world.manager.order(order, entry_lease);
-    world.pass(milliseconds{100});
-    REQUIRE(world.runs(order.run));
+    fixture.manager.order(order, entry_lease);
+    fixture.run(milliseconds{100});
+    REQUIRE(fixture.runs(order.run));
     // No look shows progress of a time in which nothing ran.
-    world.server.stands_still = true;
-    world.loop.clock.suspend(milliseconds{700});
-    world.pass(milliseconds{50});
-    world.server.stands_still = false;
-    world.pass(milliseconds{200});
-    CHECK(world.runs(order.run));
-    CHECK(world.manager.stats().stalled == 0);
+    fixture.server.makes_no_progress = true;
+    fixture.loop.clock.suspend(milliseconds{700});
+    fixture.run(milliseconds{50});
+    fixture.server.makes_no_progress = false;
+    fixture.run(milliseconds{200});
+    CHECK(fixture.runs(order.run));
+    CHECK(fixture.manager.stats().stalled == 0);
 }
--- a/tests/unit/support/fake_runner_port.hpp
+++ b/tests/unit/support/fake_runner_port.hpp
@@ -1,7 +1,7 @@
 #ifndef GLENHOLLOW_TESTS_UNIT_SUPPORT_FAKE_RUNNER_PORT_HPP
 #define GLENHOLLOW_TESTS_UNIT_SUPPORT_FAKE_RUNNER_PORT_HPP
 
-#include "glenhollow/runs/runner_port.hpp"
+#include "glenhollow/runs/backend_server_client.hpp"
 #include "unit/support/manual_loop.hpp"
 
 #include <algorithm>
@@ -16,10 +16,10 @@
 {
 
 /// A runner by the platform's rules, with faults.
-class fake_runner_port final : public runner_port
+class fake_backend_server final : public backend_server_client
 {
 public:
-    explicit fake_runner_port(manual_loop& loop) : loop_(loop) {}
+    explicit fake_backend_server(manual_loop& loop) : loop_(loop) {}
 
     void start(const run_start& start, const order_context& context,
                order_handler done) override
@@ -31,8 +31,8 @@
             return answer(std::move(done), order_outcome::unanswered);
         }
         if (is_other_life(context))
-            return answer(std::move(done), order_outcome::wrong_life);
-        if (ended)
+            return answer(std::move(done), order_outcome::wrong_incarnation);
+        if (unreachable)
             return answer(std::move(done), order_outcome::unhealthy);
         if (refuse)
         {
@@ -64,15 +64,15 @@
 
     void hold(const hold_request& request, hold_handler done) override
     {
-        ++looks;
-        if (silent || std::exchange(drop_look, false))
+        ++polls;
+        if (silent || std::exchange(drop_poll, false))
         {
             ++link; // A connection without its answer is closed.
             loop_.delay()(milliseconds{350},
                           [done = std::move(done)] { done({}); });
             return;
         }
-        if (ended)
+        if (unreachable)
         {
             loop_.delay()(milliseconds{1},
                           [done = std::move(done)]
@@ -90,7 +90,7 @@
                           [done = std::move(done)]
                           {
                               hold_result end;
-                              end.outcome = order_outcome::wrong_life;
+                              end.outcome = order_outcome::wrong_incarnation;
                               done(std::move(end));
                           });
             return;
@@ -102,23 +102,24 @@
         std::erase_if(ends, [this](const run_end& end)
                       { return end.number <= confirmed; });
         const auto wait = ends.empty() ? request.wait : duration{0};
-        loop_.delay()(wait + milliseconds{1},
-                      [this, asked = lives, by = link, done = std::move(done)]
-                      {
-                          if (asked != lives || ended)
-                              return done({}); // Its connection is gone.
-                          lapse();
-                          hold_result end;
-                          end.outcome = order_outcome::done;
-                          end.clock_ms = now_ms();
-                          end.born_ms = born_ms;
-                          end.link = by;
-                          for (const auto& run : running)
-                              end.running.push_back(
-                                  {run, percent += stands_still ? 0 : 1});
-                          end.finished = ends;
-                          done(std::move(end));
-                      });
+        loop_.delay()(
+            wait + milliseconds{1},
+            [this, asked = incarnation_count, by = link, done = std::move(done)]
+            {
+                if (asked != incarnation_count || unreachable)
+                    return done({}); // Its connection is gone.
+                lapse();
+                hold_result end;
+                end.outcome = order_outcome::done;
+                end.clock_ms = now_ms();
+                end.born_ms = born_ms;
+                end.link = by;
+                for (const auto& run : running)
+                    end.running.push_back(
+                        {run, percent += makes_no_progress ? 0 : 1});
+                end.finished = ends;
+                done(std::move(end));
+            });
     }
 
     /// @param context Of an order.
@@ -142,7 +143,7 @@
         if (known == running.end())
             return;
         running.erase(known);
-        ends.push_back({run, outcome, ++numbers, 0, true});
+        ends.push_back({run, outcome, ++last_end_number, 0, true});
     }
 
     /// Kills what nobody renewed.
@@ -159,7 +160,7 @@
     /// @param born Of the new life, ms.
     void restart(std::int64_t born)
     {
-        ++lives;
+        ++incarnation_count;
         ++link;
         born_ms = born;
         clock_origin = loop_.clock.running();
@@ -167,7 +168,7 @@
         ends.clear();
         barred.clear();
         late_starts.clear();
-        numbers = confirmed = 0;
+        last_end_number = confirmed = 0;
         held_until = 0;
     }
 
@@ -184,32 +185,33 @@
     std::vector<run_ref> barred;   ///< Stopped or ended.
     std::map<job_id, int> started; ///< Counts starts.
     std::vector<std::pair<run_ref, order_context>> late_starts; ///< Dropped.
-    std::uint64_t numbers = 0;                                  ///< Of ends.
+    std::uint64_t last_end_number = 0;                          ///< Of ends.
     std::uint64_t confirmed = 0;                                ///< By looks.
-    std::int64_t held_until = 0; ///< On its clock.
-    std::uint32_t percent = 0;   ///< Rises with each look.
-    int looks = 0;               ///< Looks so far.
-    int stops = 0;               ///< Stops so far.
-    int drop_orders = 0;         ///< So many get no answer, not done.
-    int lose_answers = 0;        ///< So many starts go unanswered.
-    bool refuse = false;         ///< Takes no starts.
-    int refusals = 0;            ///< So many refused.
-    bool drop_look = false;      ///< The next look gets no answer.
-    bool silent = false;         ///< Looks get no answer.
-    bool stands_still = false;   ///< Its runs make no progress.
-    bool ended = false;          ///< Nobody listens there.
-    int lives = 1;               ///< So far.
-    std::uint64_t link = 1;      ///< Connection that looks come by.
-    std::int64_t born_ms = 0;    ///< Of this life, told with looks; 0: not.
-    instant clock_origin{};      ///< When its clock showed clock_ahead.
-    duration clock_ahead{};      ///< See there.
-    std::string life; ///< Calls that expect another are refused; empty: none.
+    std::int64_t held_until = 0;    ///< On its clock.
+    std::uint32_t percent = 0;      ///< Rises with each look.
+    int polls = 0;                  ///< Looks so far.
+    int stops = 0;                  ///< Stops so far.
+    int drop_orders = 0;            ///< So many get no answer, not done.
+    int lose_answers = 0;           ///< So many starts go unanswered.
+    bool refuse = false;            ///< Takes no starts.
+    int refusals = 0;               ///< So many refused.
+    bool drop_poll = false;         ///< The next look gets no answer.
+    bool silent = false;            ///< Looks get no answer.
+    bool makes_no_progress = false; ///< Its runs make no progress.
+    bool unreachable = false;       ///< Nobody listens there.
+    int incarnation_count = 1;      ///< So far.
+    std::uint64_t link = 1;         ///< Connection that looks come by.
+    std::int64_t born_ms = 0;       ///< Of this life, told with looks; 0: not.
+    instant clock_origin{};         ///< When its clock showed clock_ahead.
+    duration clock_ahead{};         ///< See there.
+    std::string
+        incarnation; ///< Calls that expect another are refused; empty: none.
 
 private:
     bool is_other_life(const order_context& context) const
     {
-        return !life.empty() && !context.instance.empty() &&
-               context.instance != life;
+        return !incarnation.empty() && !context.instance.empty() &&
+               context.instance != incarnation;
     }
 
     void answer(order_handler done, order_outcome outcome)
