--- a/src/glenhollow/runs/backend_server_client.hpp
+++ b/src/glenhollow/runs/backend_server_client.hpp
@@ -13,19 +13,19 @@
 namespace glenhollow
 {
 
-/// How an order to the runner ended.
+/// Outcome of an order to the backend server.
 enum class order_outcome : std::uint8_t
 {
-    done,              ///< The runner took it.
-    fenced,            ///< The fencing token was too low.
-    superseded,        ///< That run has ended or was stopped there.
-    late,              ///< It arrived after its deadline.
-    no_room,           ///< The runner guards its room.
-    unhealthy,         ///< The runner did nothing and will take orders later.
-    wrong_incarnation, ///< Another life is there, or none that said which it
-                       ///< is; nothing was done.
-    malformed, ///< The runner did nothing and never will.
-    unanswered ///< It may be done, now or later.
+    done,              ///< Carried out.
+    fenced,            ///< Refused: the fencing token is too low.
+    superseded,        ///< Refused: the run has ended or was stopped.
+    late,              ///< Refused: the deadline has passed.
+    no_room,           ///< Refused: the backend server lacks capacity.
+    unhealthy,         ///< Not carried out; the backend server may recover.
+    wrong_incarnation, ///< Refused: another or unknown incarnation.
+    malformed,         ///< Refused permanently: the order is invalid.
+    /// No answer: it may be carried out now or later.
+    unanswered
 };
 
 template <>
@@ -36,68 +36,65 @@
         "unhealthy", "wrong_life", "malformed",  "unanswered"};
 };
 
-/// What an order says besides its subject.
+/// Conditions under which an order is valid.
 struct order_context
 {
-    std::string instance;            ///< The runner's id; empty: any.
-    std::int64_t born_ms = 0;        ///< Start of the life that a start or a
-                                     ///< stop is for: it leaves on a connection
-                                     ///< to that life alone. Of a look: of the
-                                     ///< life whose clock its deadline is of.
-                                     ///< 0: not told.
-    std::uint64_t fencing_token = 0; ///< Of this agent.
-    std::int64_t deadline_ms = 0;    ///< On the runner's clock; 0: none.
+    std::string instance; ///< Id of the backend server; empty: any.
+    /// Start time of the expected incarnation; 0: unknown. Starts and stops are
+    /// sent only on a connection to that incarnation. For a hold, the
+    /// incarnation whose clock the deadline refers to.
+    std::int64_t born_ms = 0;
+    std::uint64_t fencing_token = 0; ///< Fencing token of the agent process.
+    std::int64_t deadline_ms = 0; ///< Deadline on the server's clock; 0: none.
 };
 
-/// The end of an order.
+/// Result of an order.
 struct order_result
 {
-    order_outcome outcome = order_outcome::unanswered; ///< What happened.
-    std::int64_t clock_ms = 0; ///< The runner's clock; 0: not told.
+    order_outcome outcome = order_outcome::unanswered;
+    std::int64_t clock_ms = 0; ///< Server clock, ms; 0: not reported.
 };
 
-/// A run as the runner shows it.
+/// A run as the backend server lists it.
 struct server_run
 {
-    run_ref run;               ///< Which run.
-    std::uint32_t percent = 0; ///< Of its work.
+    run_ref run;
+    std::uint32_t percent = 0; ///< Progress in percent.
 };
 
-/// A look at the runner.
+/// A poll: asks for the state of all runs and renews their hold.
 struct hold_request
 {
-    order_context context;       ///< Its deadline renews all runs.
-    std::uint64_t confirmed = 0; ///< Ends up to this one may be forgotten.
-    std::uint64_t link = 0; ///< Connection by which the list came that these
-                            ///< are numbered in, and the clock that the
-                            ///< deadline is of. On another one neither is
-                            ///< named: it may lead to another life under the
-                            ///< same id, while a connection ends with its life.
-                            ///< 0: none.
-    duration wait{};        ///< For an end, at most.
+    order_context context;       ///< Its deadline is the new end of the hold.
+    std::uint64_t confirmed = 0; ///< Ends up to this number may be forgotten.
+    /// Connection on which those ends were listed and the clock was read; 0:
+    /// none. On any other connection both `confirmed` and the deadline are
+    /// omitted, because it may lead to another incarnation with the same id.
+    std::uint64_t link = 0;
+    duration wait{}; ///< Longest time to wait for an end.
 };
 
-/// What the runner shows.
+/// Answer to a poll.
 struct hold_result
 {
-    order_outcome outcome = order_outcome::unanswered; ///< What happened.
-    std::int64_t clock_ms = 0;                         ///< The runner's clock.
-    std::uint64_t link = 0; ///< Connection by which it came; 0: none.
-    bool reached = true; ///< False: there was no connection, nothing was sent.
-    std::int64_t born_ms = 0;        ///< When this life started; 0: not told.
-    std::vector<server_run> running; ///< All that runs.
-    std::vector<run_end> finished;   ///< Ends not yet confirmed.
+    order_outcome outcome = order_outcome::unanswered;
+    std::int64_t clock_ms = 0; ///< Server clock, ms; 0: not reported.
+    std::uint64_t link = 0;    ///< Connection of the answer; 0: none.
+    bool reached = true;       ///< False: no connection, nothing was sent.
+    std::int64_t born_ms = 0;  ///< Start of the incarnation; 0: not reported.
+    std::vector<server_run> running; ///< All current runs.
+    std::vector<run_end> finished;   ///< Ends that are not confirmed.
 };
 
-/// A start of a run.
+/// Order to start a run.
 struct run_start
 {
-    run_ref run;      ///< Which run.
-    std::string spec; ///< The job's.
+    run_ref run;
+    std::string spec; ///< Specification of the job.
 };
 
-/// The orders that a runner takes; a fake in tests. Calls end on the thread
-/// that made them, not from inside the call.
+/// Client of a backend server. Results are delivered on the calling thread,
+/// never before the call returns.
 class backend_server_client
 {
 public:
@@ -106,21 +103,21 @@
 
     virtual ~backend_server_client() = default;
 
-    /// @param start What to run.
-    /// @param context Life, fence and deadline.
-    /// @param done Told the end.
+    /// @param start Run and specification.
+    /// @param context Incarnation, fencing token and deadline.
+    /// @param done Receives the result.
     virtual void start(const run_start& start, const order_context& context,
                        order_handler done) = 0;
 
-    /// @param run What to stop; a later start of it is refused.
-    /// @param context Life and fence.
-    /// @param done Told the end.
+    /// @param run Run to stop; later starts of it are refused.
+    /// @param context Incarnation and fencing token.
+    /// @param done Receives the result.
     virtual void stop(const run_ref& run, const order_context& context,
                       order_handler done) = 0;
 
-    /// Renews the lease of all that runs and tells what runs and has ended.
-    /// @param request Deadline, fence, what is confirmed.
-    /// @param done Told the end.
+    /// Renews the hold of all runs and lists current runs and ends.
+    /// @param request Deadline, fencing token and confirmed ends.
+    /// @param done Receives the result.
     virtual void hold(const hold_request& request, hold_handler done) = 0;
 };
 
--- a/src/glenhollow/runs/heartbeat_order.hpp
+++ b/src/glenhollow/runs/heartbeat_order.hpp
@@ -11,36 +11,36 @@
 namespace glenhollow
 {
 
-/// Tells heartbeats that were overtaken on their way. Numbers are compared
-/// within one life only, and those of earlier lives are remembered, so that
-/// one of theirs that comes late does not make room for others.
+/// Detects heartbeats that arrive out of order. Sequence numbers are compared
+/// within one incarnation only. Earlier incarnations are remembered, so that a
+/// delayed heartbeat of one does not reset the order of another.
 class heartbeat_order final
 {
 public:
-    /// Lives that are remembered; one at an address after the other, of which
-    /// heartbeats can be on their way.
+    /// Number of remembered incarnations.
     static constexpr std::size_t max_incarnations = 4;
 
-    /// @param life Whose heartbeat it is.
-    /// @param sequence Its number.
-    /// @return The number that has overtaken it; nothing where it is news.
+    /// @param incarnation Sender of the heartbeat.
+    /// @param sequence Sequence number of the heartbeat.
+    /// @return The higher number received from the same incarnation, if any.
     std::optional<std::uint64_t>
     newer_sequence(const server_incarnation& incarnation,
                    std::uint64_t sequence) const;
 
-    /// @param life Whose heartbeat is used.
-    /// @param sequence Its number.
+    /// Records a heartbeat that is used.
+    /// @param incarnation Sender of the heartbeat.
+    /// @param sequence Sequence number of the heartbeat.
     void record(const server_incarnation& incarnation, std::uint64_t sequence);
 
 private:
-    /// The latest of one life.
+    /// The highest sequence number of one incarnation.
     struct entry
     {
-        server_incarnation incarnation; ///< Whose.
-        std::uint64_t sequence = 0;     ///< Its number.
+        server_incarnation incarnation;
+        std::uint64_t sequence = 0;
     };
 
-    std::deque<entry> entries_; ///< The one noted last in front.
+    std::deque<entry> entries_; ///< Most recently recorded first.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/leaving_server.cpp
+++ b/src/glenhollow/runs/leaving_server.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr double full_percent = 100.0; // Percent.
+constexpr double full_percent = 100.0;
 
 duration scaled(duration time, double share)
 {
--- a/src/glenhollow/runs/leaving_server.hpp
+++ b/src/glenhollow/runs/leaving_server.hpp
@@ -11,56 +11,60 @@
 namespace glenhollow
 {
 
-/// Limits of what is done with runs at a backend server that leaves.
+/// Settings for the runs of a backend server that will shut down.
 struct leaving_settings
 {
-    double min_estimate_share = 0.6; ///< A guess of a run's time is off by up
-                                     ///< to 40%: so much of it passes surely.
-    double min_progress_share = 0.9; ///< The same of the time that its progress
-                                     ///< tells, which is shown in hundredths.
-    std::uint32_t min_percent = 10;  ///< Before that its progress says little.
-    duration stop_time = milliseconds{100}; ///< Until a stop is confirmed; the
-                                            ///< platform allows half of it.
-    duration start_time = milliseconds{50}; ///< From then until it runs
-                                            ///< elsewhere.
+    /// Share of the estimated time that a run takes at least.
+    double min_estimate_share = 0.6;
+    /// Share of the time extrapolated from progress that a run takes at least.
+    double min_progress_share = 0.9;
+    /// Progress below this is not extrapolated.
+    std::uint32_t min_percent = 10;
+    /// Time until a stop is confirmed.
+    duration stop_time = milliseconds{100};
+    /// Time from the confirmed stop to the start at another server.
+    duration start_time = milliseconds{50};
 };
 
-/// A run at a backend server that leaves.
+/// State of a run at a backend server that will shut down.
 struct run_on_leaving_server
 {
-    run_ref run;                   ///< Which.
-    duration elapsed{};            ///< Since it began.
-    duration last_progress{};      ///< Of that, when its percent last rose.
-    std::uint32_t percent = 0;     ///< Of its work, as shown then.
-    std::uint32_t expected_ms = 0; ///< At a sound server; 0: not known.
-    std::optional<duration>
-        useful_for; ///< An end later than this from now helps
-                    ///< nobody; nothing: any end does.
+    run_ref run;
+    duration elapsed{};        ///< Time since its start.
+    duration last_progress{};  ///< Time from its start to the last progress.
+    std::uint32_t percent = 0; ///< Progress at that time.
+    /// Run time expected at a server of normal speed; 0: unknown.
+    std::uint32_t expected_ms = 0;
+    /// Remaining time in which the result is of use; empty: unlimited.
+    std::optional<duration> useful_for;
 };
 
-/// What becomes of the runs at a backend server that leaves.
+/// What to do with the runs of a backend server that will shut down.
 struct leaving_plan
 {
-    std::vector<run_ref> moved; ///< To be stopped here and run elsewhere.
-    std::vector<run_ref>
-        unfinishable; ///< Can't end here, nor in time elsewhere.
+    std::vector<run_ref> moved; ///< Runs to stop and start elsewhere.
+    /// Runs that can finish in time neither here nor at another server.
+    std::vector<run_ref> unfinishable;
 };
 
-/// @param run A run there.
-/// @param pace Of the server.
-/// @param settings Limits.
-/// @return The time that it surely still takes; nothing where nothing is known.
+/// Estimates the minimum remaining time of a run.
+/// @param run State of the run.
+/// @param pace Pace of the server.
+/// @param settings Estimate margins.
+/// @return The minimum remaining time; nothing if there is no basis for an
+/// estimate.
 std::optional<duration> min_time_left(const run_on_leaving_server& run,
                                       double pace,
                                       const leaving_settings& settings);
 
-/// Decides for all runs together: where one task of a job can neither end nor
-/// be run again in time, its other tasks are left to run, for nothing is won.
-/// @param runs That run there now.
-/// @param left The least time until the server leaves.
-/// @param pace Of the server.
-/// @param settings Limits.
-/// @return What becomes of those that can't end before.
+/// Decides for the runs of a server together. If one task of a job can finish
+/// in time neither here nor elsewhere, the other tasks of the job are not
+/// moved, because the job fails anyway.
+/// @param runs Current runs of the server.
+/// @param left Minimum time until the server shuts down.
+/// @param pace Pace of the server.
+/// @param settings Estimate margins and stop times.
+/// @return The runs that cannot finish before the shutdown.
 leaving_plan plan_leaving(const std::vector<run_on_leaving_server>& runs,
                           duration time_left, double pace,
                           const leaving_settings& settings);
--- a/src/glenhollow/runs/report_pacing.hpp
+++ b/src/glenhollow/runs/report_pacing.hpp
@@ -9,61 +9,59 @@
 namespace glenhollow
 {
 
-/// How often an agent reports.
+/// Intervals of the reports of an agent.
 struct report_pacing_settings
 {
-    duration heartbeat = milliseconds{200}; ///< Between reports to an entry
-                                            ///< that has runs here, at most.
-    duration idle_heartbeat_per_session =
-        milliseconds{40};                        ///< To one that has none, for
-                                                 ///< each open session: 25
-                                                 ///< reports a second in all.
-    duration max_doubled_heartbeat = seconds{1}; ///< With few sessions half as
-                                                 ///< many, but to each one a
-                                                 ///< report in so long.
-    duration max_heartbeat = seconds{4};         ///< However many there are.
-    duration load_interval = milliseconds{4}; ///< Of reports of room alone, for
-                                              ///< each open session.
-    duration placer_load_interval =
-        milliseconds{1}; ///< Of those to an entry that
-                         ///< places for all others.
+    /// Longest interval to an entry with runs at this agent.
+    duration heartbeat = milliseconds{200};
+    /// Longest interval to an idle entry, per open session.
+    duration idle_heartbeat_per_session = milliseconds{40};
+    /// Upper bound for doubling that interval when there are few sessions.
+    duration max_doubled_heartbeat = seconds{1};
+    /// Upper bound for any number of sessions.
+    duration max_heartbeat = seconds{4};
+    /// Interval of load reports, per open session.
+    duration load_interval = milliseconds{4};
+    /// Interval of load reports to a placer.
+    duration placer_load_interval = milliseconds{1};
 };
 
-/// What one session has to be told.
+/// What is due to be reported to one session.
 struct report_status
 {
-    bool urgent = false; ///< Ends wait.
-    bool load = false;   ///< The room has changed, or runs have begun.
-    instant reported{};  ///< When the last report left.
-    duration requested_interval{}; ///< Gap of reports of room that the entry
-                                   ///< asks for.
-    bool is_placer = false;        ///< The entry places for all others.
-    bool busy = false;             ///< The entry has runs, ends or parts here.
+    bool urgent = false; ///< Ends or another urgent change are unreported.
+    /// The load has changed, or runs have started.
+    bool load = false;
+    instant reported{}; ///< Time of the last report.
+    /// Interval of load reports that the entry asked for.
+    duration requested_interval{};
+    bool is_placer = false; ///< The entry places tasks for other entries.
+    /// The entry has runs, unconfirmed ends or parts here.
+    bool busy = false;
 };
 
-/// Decides when a session is told. Runs begin and end at an agent as often
-/// however many entries there are; each change of room told to each of them
-/// at once would cost an agent and its entries more than the work itself.
+/// Decides when an agent reports to a session. The intervals grow with the
+/// number of sessions, so that the total report rate of an agent stays bounded.
 class report_pacing final
 {
 public:
-    /// @param settings Limits.
+    /// @param settings Intervals.
     explicit report_pacing(const report_pacing_settings& settings)
         : settings_(settings)
     {
     }
 
-    /// @param open Open sessions.
-    /// @return The least time between two reports of room to one session.
+    /// @param open Number of open sessions.
+    /// @return Minimum interval of load reports to one session.
     duration load_interval(std::size_t open) const
     {
         return settings_.load_interval *
                static_cast<duration::rep>(std::max<std::size_t>(1, open));
     }
 
-    /// @param marks What a session has to be told.
-    /// @param open Open sessions.
-    /// @return The least time between two reports of room to this session.
+    /// @param status State of the session.
+    /// @param open Number of open sessions.
+    /// @return Minimum interval of load reports to this session.
     duration load_interval(const report_status& status, std::size_t open) const
     {
         const auto least = status.is_placer ? settings_.placer_load_interval
@@ -71,10 +69,10 @@
         return std::max(least, status.requested_interval);
     }
 
-    /// @param marks What a session has to be told.
-    /// @param open Open sessions.
-    /// @return The most time between two reports to this session. One without
-    /// runs here need only learn in the end that this agent has gone.
+    /// @param status State of the session.
+    /// @param open Number of open sessions.
+    /// @return Maximum interval of reports to this session. An idle session
+    /// needs reports only to detect that the agent is gone.
     duration heartbeat(const report_status& status, std::size_t open) const
     {
         if (status.busy || status.is_placer)
@@ -87,10 +85,10 @@
                           settings_.max_heartbeat);
     }
 
-    /// @param marks What a session has to be told.
-    /// @param open Open sessions.
-    /// @param now The time.
-    /// @return Whether its report leaves now.
+    /// @param status State of the session.
+    /// @param open Number of open sessions.
+    /// @param now Current time.
+    /// @return Whether its next report is due.
     bool is_due(const report_status& status, std::size_t open,
                 instant now) const
     {
@@ -101,7 +99,7 @@
     }
 
 private:
-    report_pacing_settings settings_; ///< Limits.
+    report_pacing_settings settings_;
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/run_agent_service.cpp
+++ b/src/glenhollow/runs/run_agent_service.cpp
@@ -11,7 +11,7 @@
 namespace glenhollow
 {
 
-/// One entry's link.
+/// The interface of one entry's session.
 class run_agent_service::session_server final : public wire::RunSession::Server
 {
 public:
@@ -30,9 +30,10 @@
     {
         const auto part = from_wire(context.getParams().getPart());
         auto* session = service_.find(session_number_);
-        // An empty answer would say that nothing runs here.
+        // An empty answer would mean that no runs exist.
         if (session == nullptr)
-            return KJ_EXCEPTION(FAILED, "another session has replaced this");
+            return KJ_EXCEPTION(
+                FAILED, "a newer session of the entry has replaced this one");
         const lease_id lease =
             part.part == memory_part ? session->memory : part.part;
         const auto known = service_.manager_.adopt(lease, part.epoch);
@@ -59,8 +60,9 @@
     kj::Promise<void> order(OrderContext context) override
     {
         auto* session = service_.find(session_number_);
+        // A newer session has replaced this one.
         if (session == nullptr)
-            return kj::READY_NOW; // Another session has replaced this one.
+            return kj::READY_NOW;
         ++session->received;
         ++service_.batch_count_;
         session->status.load = true;
@@ -93,8 +95,8 @@
     }
 
 private:
-    run_agent_service& service_;   ///< Outlives its sessions.
-    std::uint64_t session_number_; ///< Of the session.
+    run_agent_service& service_;
+    std::uint64_t session_number_;
 };
 
 /// The bootstrap interface.
@@ -126,14 +128,14 @@
     kj::Promise<void> host(HostContext context) override
     {
         if (!service_.job_host_factory_)
-            return KJ_EXCEPTION(UNIMPLEMENTED, "this agent hosts no jobs");
+            return KJ_EXCEPTION(UNIMPLEMENTED, "this agent does not host jobs");
         const std::string entry = context.getParams().getEntry();
         context.getResults().setSession(service_.job_host_factory_(entry));
         return kj::READY_NOW;
     }
 
 private:
-    run_agent_service& service_; ///< Outlives the server.
+    run_agent_service& service_;
 };
 
 run_agent_service::run_agent_service(boost::asio::io_context& io,
@@ -165,8 +167,8 @@
     return known == sessions_by_number_.end() ? nullptr : known->second;
 }
 
-/// An entry attaches, again or with another process: what an ended process
-/// had in memory is nobody's.
+/// Opens a session. If the entry has a new process, the in-memory runs of the
+/// old one are expired.
 void run_agent_service::open(const std::string& entry,
                              std::uint64_t incarnation,
                              wire::RunReports::Client reports)
@@ -207,13 +209,13 @@
     auto* owner = find(session_number);
     if (owner == nullptr)
         return;
-    owner->status.urgent =
-        true; // The lease begins with the next confirmed report.
+    // The lease begins with the next answered report.
+    owner->status.urgent = true;
     schedule_urgent_report();
 }
 
-/// An entry that had nothing here holds no lease any more: the answer to a
-/// report renews it, and its runs wait for that.
+/// An entry without runs here has no valid lease. Its orders wait for an urgent
+/// report, whose answer renews the lease.
 void run_agent_service::handle_orders(session& sender)
 {
     if (manager_.is_leased(sender.memory))
@@ -222,7 +224,7 @@
     schedule_urgent_report();
 }
 
-/// An entry begins to place, or places no more: it needs the room as it is.
+/// An entry starts or stops placing: it needs the current load at once.
 void run_agent_service::pace(std::uint64_t session_number,
                              duration requested_interval, bool is_placer)
 {
@@ -252,8 +254,8 @@
 
 void run_agent_service::run_started(lease_id lease)
 {
-    // Jobs in memory are counted by the next report, which comes soon: the
-    // entry has a run here.
+    // The next regular report counts in-memory runs; it is due soon, because
+    // the entry has a run here.
     auto* owner = is_part_lease(lease) ? owner_of(lease) : nullptr;
     if (owner == nullptr)
         return;
@@ -269,7 +271,7 @@
     schedule_load_report();
 }
 
-/// Entries must not send work to a runner that is left alone.
+/// Entries must not send work to a server that accepts none.
 void run_agent_service::phase_changed()
 {
     for (auto& [entry, one] : sessions_)
@@ -298,7 +300,8 @@
               });
 }
 
-/// Its placer counts the room as taken until it hears that the order is here.
+/// The placer counts the capacity as taken until it learns that the order has
+/// arrived.
 void run_agent_service::record_grant(const run_order& order)
 {
     if (order.grant == 0)
@@ -324,7 +327,7 @@
     return gap;
 }
 
-/// One timer serves all that changes within the gap.
+/// Combines all changes within the interval into one report.
 void run_agent_service::schedule_load_report()
 {
     if (std::exchange(load_report_scheduled_, true))
@@ -353,8 +356,8 @@
     send_due_reports();
 }
 
-/// An entry takes what an account does not list for not there, and has it begin
-/// elsewhere: none is told before this process knows what runs.
+/// An entry restarts the runs that an account does not list, so no account is
+/// sent before the runs are known.
 kj::Promise<void> run_agent_service::when_runs_known()
 {
     if (manager_.are_runs_known())
@@ -372,7 +375,8 @@
         one->fulfill();
 }
 
-/// Parts have an owner that must not lose its lease, whether or not they run.
+/// Owners of parts count as busy even without runs, because they must keep
+/// their leases.
 void run_agent_service::update_busy_sessions()
 {
     auto leases = manager_.leases_in_use();
@@ -504,7 +508,7 @@
         schedule_load_report();
 }
 
-/// Entries learn of evacuations at different times: the newest word counts.
+/// Entries learn of evacuations at different times; the newest version applies.
 void run_agent_service::update_hall(bool evacuated, std::uint64_t version)
 {
     if (version <= hall_version_)
@@ -513,8 +517,8 @@
     manager_.evacuate(evacuated);
 }
 
-/// The link is gone; its entry attaches and adopts again, and is then told of
-/// all ends.
+/// The link is lost. When the entry attaches and adopts its leases again, it
+/// receives all ends.
 void run_agent_service::handle_report_failure(std::uint64_t session_number)
 {
     auto* sender = find(session_number);
--- a/src/glenhollow/runs/run_agent_service.hpp
+++ b/src/glenhollow/runs/run_agent_service.hpp
@@ -19,16 +19,17 @@
 namespace glenhollow
 {
 
-/// Serves entries: one session each, with orders in and reports out. A report
-/// that its entry answers renews the leases of the parts that the entry owns.
+/// Serves entries: each has one session, in which it sends orders and receives
+/// reports. An answered report renews the leases of the parts that the entry
+/// owns and of its in-memory jobs.
 class run_agent_service final : private run_listener
 {
 public:
     /// @param io Runs delayed work.
     /// @param clock Outlives the service.
     /// @param manager Outlives the service.
-    /// @param incarnation Of this process.
-    /// @param settings Limits.
+    /// @param incarnation Incarnation of this agent process.
+    /// @param settings Report intervals.
     run_agent_service(boost::asio::io_context& io, const clock_source& clock,
                       run_manager& manager, std::uint64_t incarnation,
                       const report_pacing_settings& settings);
@@ -37,12 +38,11 @@
     /// @return The interface offered to entries.
     wire::RunAgent::Client bootstrap();
 
-    /// Told the name of an entry that wants jobs hosted; gives its session.
+    /// Opens a session with the job host of this process for the named entry.
     using job_host_factory =
         std::function<wire::JobHost::Client(const std::string& entry)>;
 
-    /// @param opener Opens sessions with this process's host of jobs; without
-    /// one, entries are refused.
+    /// @param opener Opens job host sessions; without one they are refused.
     void set_job_host_factory(job_host_factory opener)
     {
         job_host_factory_ = std::move(opener);
@@ -51,27 +51,29 @@
     /// Sends the reports that are due.
     void tick();
 
-    /// @param page Gets the agent's metrics.
+    /// @param page Receives the metrics of the agent.
     void collect(metric_page& page) const;
 
 private:
     class agent_server;
     class session_server;
 
-    /// One entry's session.
+    /// The session of one entry.
     struct session
     {
-        std::string entry;                ///< Its name.
-        std::uint64_t session_number = 0; ///< Of the session, rising.
-        std::uint64_t incarnation = 0;    ///< Of the entry's process.
-        lease_id memory = 0;              ///< Lease of its jobs in memory.
-        std::uint64_t received = 0;       ///< Order batches.
-        kj::Maybe<wire::RunReports::Client> reports; ///< Its ear.
-        bool reporting = false;                      ///< A report is out.
-        report_status status;               ///< What it has to be told.
-        std::vector<std::uint32_t> granted; ///< Its grants that have come.
-        server_incarnation
-            reported_incarnation; ///< Runner's life whose account was told.
+        std::string entry;                ///< Name of the entry.
+        std::uint64_t session_number = 0; ///< Increases with each session.
+        std::uint64_t incarnation = 0;    ///< Incarnation of the entry process.
+        lease_id memory = 0;              ///< Lease of its in-memory jobs.
+        std::uint64_t received = 0;       ///< Number of order batches received.
+        /// Receives the reports; empty once the link is lost.
+        kj::Maybe<wire::RunReports::Client> reports;
+        bool reporting = false; ///< A report is unanswered.
+        report_status status;
+        /// Its grants whose orders have arrived since the last report.
+        std::vector<std::uint32_t> granted;
+        /// Incarnation whose full account was reported last.
+        server_incarnation reported_incarnation;
     };
 
     void lease_changed(lease_id lease) override;
@@ -108,28 +110,29 @@
     session* owner_of(lease_id lease);
     session* find(std::uint64_t session_number);
 
-    boost::asio::io_context& io_;             ///< Runs delayed work.
-    const clock_source& clock_;               ///< This agent's.
-    run_manager& manager_;                    ///< The runs.
-    std::uint64_t incarnation_;               ///< Of this process.
-    report_pacing pacing_;                    ///< When to report.
-    std::map<std::string, session> sessions_; ///< By entry.
-    std::unordered_map<std::uint64_t, session*>
-        sessions_by_number_;                   ///< The same.
-    std::map<lease_id, std::uint64_t> owners_; ///< Session by lease.
-    std::uint32_t process_count_ = 0;          ///< Entries' processes so far.
-    std::uint64_t session_count_ = 0;          ///< Of sessions.
-    std::uint64_t report_count_ = 0;           ///< Sent.
-    std::uint64_t batch_count_ = 0;            ///< Order batches taken.
-    std::uint64_t hall_version_ = 0; ///< Of what is known of the hall.
-    std::vector<kj::Own<kj::PromiseFulfiller<void>>>
-        waiting_adoptions_;                ///< See
-                                           ///< when_runs_known.
-    bool urgent_report_scheduled_ = false; ///< A flush is on its way.
-    bool load_report_scheduled_ = false;   ///< One for room alone, too.
-    background_tasks pending_reports_;     ///< Reports that are out.
-    job_host_factory job_host_factory_;    ///< Of jobs, at this process.
-    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true); ///< Guard.
+    boost::asio::io_context& io_;
+    const clock_source& clock_;
+    run_manager& manager_;
+    std::uint64_t incarnation_;
+    report_pacing pacing_;
+    std::map<std::string, session> sessions_; ///< Sessions by entry name.
+    /// Sessions by session number.
+    std::unordered_map<std::uint64_t, session*> sessions_by_number_;
+    /// Session number of each lease's holder.
+    std::map<lease_id, std::uint64_t> owners_;
+    std::uint32_t process_count_ = 0; ///< Number of entry processes so far.
+    std::uint64_t session_count_ = 0; ///< Number of sessions so far.
+    std::uint64_t report_count_ = 0;  ///< Number of reports sent.
+    std::uint64_t batch_count_ = 0;   ///< Number of order batches received.
+    std::uint64_t hall_version_ = 0;  ///< Version of the hall's known state.
+    /// Adoptions that wait until the runs are known.
+    std::vector<kj::Own<kj::PromiseFulfiller<void>>> waiting_adoptions_;
+    bool urgent_report_scheduled_ = false;
+    bool load_report_scheduled_ = false;
+    background_tasks pending_reports_; ///< Reports without an answer.
+    job_host_factory job_host_factory_;
+    /// False once destroyed; checked by callbacks.
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/run_manager.cpp
+++ b/src/glenhollow/runs/run_manager.cpp
@@ -27,15 +27,16 @@
     *alive_ = false;
 }
 
-/// The process before may have renewed the hold until a moment ago.
+/// The previous process may have renewed the hold just before it ended.
 void run_manager::begin()
 {
     held_until_ = clock_.running() + with_drift(settings_.hold);
     poll();
 }
 
-/// The same job may come over another entry, whose runs have the same numbers:
-/// the end of one that was ordered by an entry of before must not swallow it.
+/// The same in-memory job may be submitted again through another entry and then
+/// uses the same run numbers. An end under the earlier entry's lease does not
+/// apply to the new run.
 bool run_manager::is_ended(const run_ref& ref, lease_id memory)
 {
     const auto known = unconfirmed_.ends().find(ref);
@@ -71,12 +72,13 @@
     start_waiting();
 }
 
-/// The server may have been told to go on for longer than the lease lasts, for
-/// the runs of others: one that begins late in its lease would go on with them.
+/// The hold may extend beyond the lease of this run, for the runs of other
+/// leases. A start late in its lease would let the run continue under that
+/// hold.
 bool run_manager::may_start(const run_record& run)
 {
-    // A lease of 0.8 s and this end before a caller's wait of 1.3 s, by clocks
-    // that differ by a fiftieth.
+    // A memory lease and this time together must be shorter than the time after
+    // which a caller resends its job, allowing for clock drift.
     constexpr duration held_past_lease = milliseconds{450};
     const auto& owner = lease_of(run);
     const bool occupied = used_.cpu > 0 || used_.gpu > 0 || used_.memory > 0;
@@ -108,7 +110,8 @@
     }
 }
 
-/// @return Whose orders they are, and for how long all may go on there.
+/// @return The context of orders to the current incarnation, with the end of
+/// the hold as deadline.
 order_context run_manager::context() const
 {
     const auto now = clock_.now();
@@ -135,9 +138,11 @@
     await_start(run.order.run);
 }
 
-/// An answer that is read late may be of a life that has ended since.
-/// @param born_ms Start of the life that the order was for; 0: not told.
-/// @param clock_ms What its clock showed.
+/// Updates the estimate of the server's clock, unless the answer is from an
+/// incarnation that has ended.
+/// @param born_ms Start time of the incarnation that the order was for; 0:
+/// unknown.
+/// @param clock_ms Server clock in the answer.
 void run_manager::update_server_clock(std::int64_t born_ms,
                                       std::int64_t clock_ms)
 {
@@ -158,10 +163,11 @@
         refusal_backoff_ = {};
         if (run.phase == run_phase::doubtful && run.is_stop_pending)
         {
-            run.phase = run_phase::stopping; // Its answer came too late.
+            // The answer arrived after the stop was sent.
+            run.phase = run_phase::stopping;
             return;
         }
-        return started(run);
+        return mark_started(run);
     case order_outcome::unanswered:
         ++stats_.doubtful;
         if (run.phase == run_phase::starting)
@@ -184,7 +190,7 @@
     end_run(ref, run_outcome::not_begun, 0);
 }
 
-/// No answer came: it may run, or begin while its deadline lasts.
+/// The unanswered run may be running, or start until its deadline.
 void run_manager::mark_doubtful(run_record& run)
 {
     run.phase = run_phase::doubtful;
@@ -193,7 +199,8 @@
         clock_.running() + with_drift(settings_.hold) + lapse_margin;
 }
 
-/// A runner that refuses starts looks empty and would draw all of them.
+/// A server that refuses starts appears to be idle and would attract more of
+/// them.
 void run_manager::back_off()
 {
     if (is_backing_off())
@@ -216,7 +223,7 @@
     return breaker_.state(clock_.now()) == breaker_state::probing;
 }
 
-/// @param bad Whether a run failed or stood still.
+/// @param failed Whether the run failed or stalled.
 void run_manager::record_health(const run_ref& ref, bool failed)
 {
     if (!breaker_.record_end(ref.task.job, failed, clock_.now()))
@@ -233,7 +240,8 @@
         notify_load_changed();
 }
 
-/// A sound runner shows progress of a hundredth of a task at least.
+/// A healthy server reports progress in steps of at most one hundredth of a
+/// task.
 duration run_manager::stall_limit(const run_record& run) const
 {
     const milliseconds estimate{run.order.estimate_ms};
@@ -245,7 +253,7 @@
                                 settings_.max_stall);
 }
 
-void run_manager::started(run_record& run)
+void run_manager::mark_started(run_record& run)
 {
     if (run.phase == run_phase::stopping || run.phase == run_phase::running)
         return;
@@ -298,10 +306,11 @@
     if (answer.outcome == order_outcome::done ||
         answer.outcome == order_outcome::superseded)
     {
-        // From now on the runner refuses a late start of this run.
+        // The server now refuses a late start of this run.
         run.settled_at = clock_.now();
         if (run.phase == run_phase::doubtful)
-            poll_now(); // Only a later look can show that it has not begun.
+            // Only a later poll can show that the run has not started.
+            poll_now();
         return;
     }
     if (answer.outcome == order_outcome::fenced)
@@ -325,8 +334,8 @@
     start_waiting();
 }
 
-/// Ends that are not confirmed make the next look return at once; as soon as
-/// none is left, a look can wait for the next end and tell it without delay.
+/// Polls return at once while ends are unconfirmed. As soon as none is left, a
+/// poll may wait at the server for the next end.
 void run_manager::confirm(const run_end& end)
 {
     const bool waited = unconfirmed_.has_unsettled();
@@ -372,7 +381,8 @@
     if (outcome == run_outcome::not_begun)
         ++stats_.not_begun;
     if (is_orphaned && ref.in_memory())
-        unconfirmed_.release(ref); // Its entry may never ask for it.
+        // The entry may never claim it.
+        unconfirmed_.release(ref);
     if (listener_ != nullptr)
         listener_->lease_changed(lease);
     if (outcome == run_outcome::done || outcome == run_outcome::failed)
@@ -421,12 +431,12 @@
         if (run.phase == run_phase::doubtful && run.settled_at.count() == 0)
         {
             if (clock_.running() > run.latest_start)
-                run.settled_at = now; // Too late for it to begin.
+                run.settled_at = now; // Its deadline has passed.
             else if (retry &&
                      now - run.phase_changed_at >= settings_.answer_timeout)
                 to_stop.push_back(ref);
         }
-        // By what looks have shown, not by how long none was answered.
+        // The time without answered polls does not count as a stall.
         if (run.phase == run_phase::running &&
             last_answer_ - run.progressed_at > stall_limit(run))
         {
@@ -506,7 +516,8 @@
     return out;
 }
 
-/// A runner on probation looks crowded, with room for one run.
+/// The load of a probing server is reported as nearly full, with capacity for
+/// one run.
 std::uint32_t run_manager::probing_cpu_used() const
 {
     const auto all = account_.capacity.cpu;
--- a/src/glenhollow/runs/run_manager.hpp
+++ b/src/glenhollow/runs/run_manager.hpp
@@ -26,35 +26,34 @@
 namespace glenhollow
 {
 
-/// Names a lease under which runs go on: that of a part of the journal, or that
-/// of an entry's process for its jobs in memory.
+/// Identifies a lease on runs: the lease of a part of the journal, or the lease
+/// of an entry process for its in-memory jobs.
 using lease_id = std::uint32_t;
 
-/// Of runs in memory whose entry has not claimed them yet.
+/// Lease of in-memory runs that no entry has claimed yet.
 inline constexpr lease_id unclaimed_lease = 0xFFFF'FFFF;
 
-/// @param number Of an entry's process at this agent, from 0.
-/// @return The lease of its jobs in memory.
+/// @param number Index of the entry process at this agent, from 0.
+/// @return The lease of its in-memory jobs.
 constexpr lease_id memory_lease(std::uint32_t number)
 {
     return 0x1'0000U + number;
 }
 
-/// @param lease A lease.
-/// @return Whether it is that of a part of the journal.
+/// @return Whether the lease belongs to a part of the journal.
 constexpr bool is_part_lease(lease_id lease)
 {
     return lease < 0x1'0000U;
 }
 
-/// Where a run stands at its agent.
+/// State of a run at its agent.
 enum class run_phase : std::uint8_t
 {
-    waiting,  ///< Accepted, not yet sent to the runner.
-    starting, ///< Sent, no answer yet.
-    doubtful, ///< Sent, the answer is lost.
-    running,  ///< The runner has it.
-    stopping  ///< Told to stop, not yet ended.
+    waiting,  ///< Accepted, not yet sent to the backend server.
+    starting, ///< Sent, not yet answered.
+    doubtful, ///< Sent, but the answer was lost.
+    running,  ///< The backend server runs it.
+    stopping  ///< The stop was sent, the run has not ended yet.
 };
 
 template <>
@@ -64,12 +63,12 @@
         "waiting", "starting", "doubtful", "running", "stopping"};
 };
 
-/// Whether a runner takes work.
+/// Whether a backend server accepts work.
 enum class server_phase : std::uint8_t
 {
-    absent,  ///< Not registered, or it does not answer.
-    ready,   ///< Takes starts.
-    draining ///< Finishes what runs.
+    absent,  ///< Not registered, or not answering.
+    ready,   ///< Accepts starts.
+    draining ///< Lets runs finish, accepts no starts.
 };
 
 template <>
@@ -79,139 +78,149 @@
                                                            "draining"};
 };
 
-/// What a runner says of itself.
+/// What a backend server reports about itself in its heartbeats.
 struct server_account
 {
-    std::string service;                       ///< What it runs.
-    std::string instance;                      ///< Its id.
-    std::int64_t born_ms = 0;                  ///< When it started, Unix ms by
-                                               ///< its own word; 0: not told.
-    std::uint64_t sequence = 0;                ///< Of this word, in this life.
-    std::string zone;                          ///< Where it stands.
-    std::vector<std::string> labels;           ///< Kind, rack.
-    resources capacity;                        ///< All of it.
-    server_phase phase = server_phase::absent; ///< Whether it takes work.
-    std::optional<instant>
-        leaves_at;        ///< At the earliest, by the agent's clock;
-                          ///< all that runs there ends with it.
-    instant cold_until{}; ///< Slow from its start until then.
-
-    /// @return Which life of the runner speaks.
+    std::string service; ///< Name of the service that it provides.
+    /// Identifier; several incarnations may use the same one.
+    std::string instance;
+    /// Start time, Unix ms by its own clock; 0: unknown.
+    std::int64_t born_ms = 0;
+    std::uint64_t sequence = 0; ///< Heartbeat number within the incarnation.
+    std::string zone;           ///< Hall of the backend server.
+    std::vector<std::string> labels; ///< Labels such as its kind and rack.
+    resources capacity;              ///< Total resources, used and free.
+    server_phase phase = server_phase::absent; ///< Whether it accepts work.
+    /// Earliest shutdown time by the agent's clock; all runs end with it.
+    std::optional<instant> leaves_at;
+    instant cold_until{}; ///< End of the slow warm-up after its start.
+
+    /// @return The incarnation that sent this account.
     server_incarnation incarnation() const { return {instance, born_ms}; }
 };
 
-/// Times that a runner tells with its account, as of its own clock.
+/// Times that a backend server reports with its account.
 struct server_timing
 {
-    std::int64_t clock_ms = 0; ///< The runner's clock then; 0: not told.
-    std::optional<duration> remaining; ///< Until it leaves, at least.
-    duration cold{};                   ///< It stays slow for so long.
+    /// Server clock at the time of the report; 0: unknown.
+    std::int64_t clock_ms = 0;
+    std::optional<duration> remaining; ///< Minimum time until it shuts down.
+    duration cold{};                   ///< Remaining warm-up time.
 };
 
-/// What an agent tells of its runner's room.
+/// Load of a backend server as its agent reports it.
 struct server_load
 {
-    resources used;            ///< By what runs, starts, stops or waits.
-    std::uint32_t waiting = 0; ///< Orders without room yet.
-    std::optional<duration> leaves_in; ///< The runner's notice, as of now.
-    duration cold{};                   ///< It stays slow for so long.
-    double pace = 0; ///< Time of runs over what was expected; 0: not known.
+    /// Resources of starting, running, stopping and waiting runs.
+    resources used;
+    /// Number of orders that wait for free capacity.
+    std::uint32_t waiting = 0;
+    /// Minimum time until the announced shutdown.
+    std::optional<duration> leaves_in;
+    duration cold{}; ///< Remaining warm-up time.
+    double pace = 0; ///< Measured over expected run time; 0: unknown.
 };
 
-/// A start that an owner orders.
+/// An order of an owner to start a run.
 struct run_order
 {
-    run_ref run;                   ///< Which run.
-    std::uint32_t epoch = 0;       ///< Of the part, at the owner.
-    resources needs;               ///< What it takes.
-    std::int64_t urgency = 0;      ///< Smaller goes first.
-    std::string spec;              ///< The job's.
-    std::uint32_t estimate_ms = 0; ///< A rough guess of its time; 0: none.
-    std::uint64_t placer = 0;      ///< Incarnation of the entry that chose
-                                   ///< this agent, if not the sender.
-    std::uint32_t grant = 0;       ///< Its number there; 0: none.
-    std::uint32_t expected_ms = 0; ///< At a warm server of usual speed, as far
-                                   ///< from its data; 0: not known.
-    std::uint32_t useful_ms = 0;   ///< An end later than this from the order
-                                   ///< on helps nobody; 0: any does.
+    run_ref run;
+    std::uint32_t epoch = 0;       ///< Epoch of the part at its owner.
+    resources needs;               ///< Resources that the run takes.
+    std::int64_t urgency = 0;      ///< Smaller values start first.
+    std::string spec;              ///< The job's specification.
+    std::uint32_t estimate_ms = 0; ///< Rough estimate of the run time; 0: none.
+    /// Incarnation of the entry that chose this agent, if not the sender.
+    std::uint64_t placer = 0;
+    std::uint32_t grant = 0; ///< Number of the placer's grant; 0: none.
+    /// Run time expected at a warm server of normal speed, with the same access
+    /// to the data; 0: unknown.
+    std::uint32_t expected_ms = 0;
+    /// Time from the order after which the result is no longer of use; 0:
+    /// unlimited.
+    std::uint32_t useful_ms = 0;
 };
 
-/// A run as its agent lists it for a new owner.
+/// A run as an agent lists it for a new owner.
 struct listed_run
 {
-    run_ref run;                          ///< Which run.
-    run_phase phase = run_phase::waiting; ///< Where it stands.
-    bool are_needs_known = false;         ///< The agent knows what it takes.
+    run_ref run;
+    run_phase phase = run_phase::waiting;
+    /// Whether the agent knows the run's resources.
+    bool are_needs_known = false;
 };
 
-/// All that an agent knows of the runs under one lease.
+/// What an agent knows about the runs of one lease.
 struct lease_account
 {
-    bool declined = false; ///< A later owner has been here.
-    bool complete = false; ///< The agent has kept all since the last account:
-                           ///< an order not told here has not been taken, and
-                           ///< never will be.
-    std::vector<listed_run> runs; ///< Not ended.
-    std::vector<run_end> ends;    ///< Not confirmed by an owner.
+    bool declined = false; ///< A later owner has adopted the lease.
+    /// The agent has kept its state since the last account: an order that is
+    /// not listed was not accepted and never will be.
+    bool complete = false;
+    std::vector<listed_run> runs; ///< Runs that have not ended.
+    std::vector<run_end> ends;    ///< Ends that no owner has confirmed.
 };
 
-/// The longest hold of a runner that entries reckon with when they wait for the
-/// runs of a silent agent to lapse: with 2 s a task of a job in memory ran
-/// twice at once.
+/// Longest hold: a backend server ends its runs when it has not been polled for
+/// the length of the hold. Entries wait this long for the runs of a
+/// silent agent to lapse.
 inline constexpr duration max_hold = milliseconds{1000};
 
-/// Limits of a manager.
+/// Settings of a run manager.
 struct run_manager_settings
 {
-    std::size_t parts = 3;                     ///< Of the journal.
-    duration part_lease = milliseconds{1800};  ///< From an owner's
-                                               ///< confirmation.
-    duration memory_lease = milliseconds{800}; ///< From an entry's.
-    duration claim_timeout =
-        milliseconds{600};                  ///< For runs that were found, and
-                                            ///< orders without a lease yet.
-    duration stop_time = milliseconds{350}; ///< For runs without a lease,
-                                            ///< before the hold lapses.
-    duration hold = max_hold; ///< Longest hold of the runner; it ends with
-                              ///< the time to stop after the first lease
-                              ///< to end of those that have runs.
-    duration poll_wait = milliseconds{100};     ///< Of one look, at most.
-    duration poll_interval = milliseconds{8};   ///< While ends are unconfirmed.
-    duration answer_timeout = milliseconds{30}; ///< For an answer past its
-                                                ///< wait; some thirty times
-                                                ///< what a call takes on one
-                                                ///< VM.
-    duration max_timer_lag = milliseconds{5};   ///< Timers of this process that
-                                                ///< come later say that it is
-                                                ///< slow, not the runner.
-    std::uint32_t max_pending_polls = 3;    ///< Unanswered at once, at most.
-    duration max_stall = milliseconds{900}; ///< A run without progress,
-                                            ///< where no time is guessed.
-    double stall_share = 0.35;              ///< Of the guessed time.
-    duration min_stall = milliseconds{200}; ///< Whatever is guessed.
-    server_breaker_settings breaker;        ///< Judgement on the runner.
-    leaving_settings leaving;               ///< At one that leaves.
-    server_pace_settings pace;              ///< The estimate of its pace.
-    duration max_poll_gap =
-        milliseconds{150}; ///< Ends seen past a longer gap between
-                           ///< answered looks tell no pace; a look
-                           ///< takes its wait and an answer.
-    duration unclaimed_end_retention =
-        seconds{10}; ///< Ends of entries that went.
-    duration min_refusal_backoff =
-        milliseconds{200}; ///< After a refused start the
-                           ///< runner is left alone.
-    duration max_refusal_backoff = milliseconds{1600}; ///< After repeated ones.
-    std::size_t max_waiting = 16;                      ///< Orders without room.
+    std::size_t parts = 3; ///< Number of parts of the journal.
+    /// Length of a lease after the owner's confirmation.
+    duration part_lease = milliseconds{1800};
+    /// Length of a lease after the entry's confirmation.
+    duration memory_lease = milliseconds{800};
+    /// Limit for claiming runs found at the server and for leasing waiting
+    /// orders.
+    duration claim_timeout = milliseconds{600};
+    /// Time to stop runs without a lease before the hold may lapse.
+    duration stop_time = milliseconds{350};
+    /// Longest hold; shorter where a lease plus stop_time ends earlier.
+    duration hold = max_hold;
+    /// Longest time that the server may hold a poll open.
+    duration poll_wait = milliseconds{100};
+    /// Time between polls while ends are unconfirmed.
+    duration poll_interval = milliseconds{8};
+    /// Time for an answer beyond the requested wait.
+    duration answer_timeout = milliseconds{30};
+    /// A timer that fires later than this shows that this process was delayed.
+    duration max_timer_lag = milliseconds{5};
+    /// Maximum number of unanswered polls.
+    std::uint32_t max_pending_polls = 3;
+    /// Longest time without progress; the limit where no estimate is known.
+    duration max_stall = milliseconds{900};
+    /// Share of the estimated time without progress.
+    double stall_share = 0.35;
+    duration min_stall = milliseconds{200}; ///< Lower bound of the stall limit.
+    server_breaker_settings breaker; ///< Circuit breaker of the backend server.
+    leaving_settings leaving;        ///< Settings for a server that shuts down.
+    server_pace_settings pace;       ///< Settings of the pace estimate.
+    /// Ends seen after a longer gap between answered polls do not count for the
+    /// pace.
+    duration max_poll_gap = milliseconds{150};
+    /// How long ends of departed entries are kept.
+    duration unclaimed_end_retention = seconds{10};
+    /// Backoff after a refused start.
+    duration min_refusal_backoff = milliseconds{200};
+    /// Backoff after repeated refusals.
+    duration max_refusal_backoff = milliseconds{1600};
+    /// Maximum number of orders that wait for capacity.
+    std::size_t max_waiting = 16;
 };
 
-/// What became of an account.
+/// How a heartbeat of a backend server was handled.
 enum class heartbeat_outcome : std::uint8_t
 {
-    accepted,          ///< It counts, or will once a look bears it out.
-    out_of_order,      ///< Overtaken by a later one of its life.
-    without_start_time ///< It does not tell its start, while lists do: whose it
-                       ///< is can't be said.
+    accepted, ///< Used, or kept until a poll confirms its sender.
+    /// A later heartbeat of the same incarnation was received before.
+    out_of_order,
+    /// Ignored: it lacks the start time that polls report, so its sender is
+    /// unknown.
+    without_start_time
 };
 
 template <>
@@ -221,241 +230,268 @@
                                                            "undated"};
 };
 
-/// Counters of a manager.
+/// Counters of a run manager.
 struct run_manager_stats
 {
-    std::uint64_t started = 0;      ///< Starts that the runner took.
-    std::uint64_t not_begun = 0;    ///< Orders that never began.
-    std::uint64_t doubtful = 0;     ///< Starts without an answer.
-    std::uint64_t polls = 0;        ///< Looks at the runner.
-    std::uint64_t polls_lost = 0;   ///< Of these, given up without an answer.
-    std::uint64_t lapses = 0;       ///< Times the hold was left to lapse.
-    std::uint64_t stalled = 0;      ///< Runs stopped for want of progress.
-    std::uint64_t runs_missing = 0; ///< Runs that the runner no longer showed.
-    std::uint64_t found = 0;        ///< Runs that another process had begun.
-    std::uint64_t ended_runs_stopped =
-        0; ///< Stops of runs shown after their end.
-    std::uint64_t stale_registrations = 0; ///< Of lives that had ended.
+    std::uint64_t started = 0; ///< Starts accepted by the backend server.
+    /// Orders that ended before their run started.
+    std::uint64_t not_begun = 0;
+    std::uint64_t doubtful = 0;   ///< Starts without an answer.
+    std::uint64_t polls = 0;      ///< Polls sent.
+    std::uint64_t polls_lost = 0; ///< Polls without an answer in time.
+    /// Times that renewing the hold was suspended until it lapsed.
+    std::uint64_t lapses = 0;
+    std::uint64_t stalled = 0; ///< Runs stopped for lack of progress.
+    /// Runs that the server stopped listing without an end.
+    std::uint64_t runs_missing = 0;
+    std::uint64_t found = 0; ///< Runs started by an earlier agent process.
+    /// Stops of runs listed after their end.
+    std::uint64_t ended_runs_stopped = 0;
+    /// Registrations of ended incarnations.
+    std::uint64_t stale_registrations = 0;
     std::array<std::uint64_t, name_table<heartbeat_outcome>::names.size()>
-        heartbeats{}; ///< By what became of them.
-    std::uint64_t same_id_restarts =
-        0; ///< Lives that began under the last one's id.
-    std::uint64_t unconfirmed_sign_offs =
-        0;                           ///< Words of an end that had not come.
-    std::uint64_t repeated_ends = 0; ///< Listed with a number that was done
-                                     ///< with before.
-    std::uint64_t misdelivered_acks =
-        0; ///< Looks whose mark of noted ends came to
-           ///< another life than that it is of.
-    std::uint64_t leaving_notices =
-        0;                          ///< Lives that told when they would leave.
-    std::uint64_t moved = 0;        ///< Runs stopped to be run elsewhere.
-    std::uint64_t moved_ms = 0;     ///< Time that these had run: thrown away.
-    std::uint64_t unfinishable = 0; ///< Runs that could not end, nor elsewhere.
-    std::uint64_t refused_by_leaving = 0; ///< Orders that came after a notice.
-    std::uint64_t restored = 0;       ///< Lives known from an earlier process.
-    std::uint64_t restored_ended = 0; ///< Of these, those that had ended.
+        heartbeats{};                   ///< Heartbeats by outcome.
+    std::uint64_t same_id_restarts = 0; ///< Restarts under the same id.
+    /// Sign-offs that a later poll contradicted.
+    std::uint64_t unconfirmed_sign_offs = 0;
+    /// Ends listed again after their confirmation.
+    std::uint64_t repeated_ends = 0;
+    /// Acknowledgements that reached another incarnation than the one they were
+    /// meant for.
+    std::uint64_t misdelivered_acks = 0;
+    /// Incarnations that announced their shutdown.
+    std::uint64_t leaving_notices = 0;
+    /// Runs stopped in order to run at another server.
+    std::uint64_t moved = 0;
+    std::uint64_t moved_ms = 0; ///< Run time discarded by these stops, ms.
+    /// Runs that could finish in time neither here nor at another server.
+    std::uint64_t unfinishable = 0;
+    /// Orders refused because of an announced shutdown.
+    std::uint64_t refused_by_leaving = 0;
+    /// Accounts restored from an earlier agent process.
+    std::uint64_t restored = 0;
+    std::uint64_t restored_ended = 0; ///< Restored incarnations that had ended.
     std::array<std::uint64_t, name_table<run_outcome>::names.size()>
-        ends{}; ///< By outcome.
+        ends{}; ///< Ends by outcome.
 };
 
-/// Told of changes.
+/// Receives the changes of a run manager.
 class run_listener
 {
 public:
     virtual ~run_listener() = default;
 
-    /// @param lease Has an end to tell.
+    /// @param lease Lease with an unreported end.
     virtual void lease_changed(lease_id lease) = 0;
 
-    /// @param lease Has a begun run to tell; nobody waits for that.
+    /// @param lease Lease with a run that has started; this need not be
+    /// reported at once.
     virtual void run_started(lease_id lease) = 0;
 
-    /// The runner's room or phase has changed.
+    /// The load or phase of the backend server has changed.
     virtual void load_changed() = 0;
 
-    /// The runner takes work or takes none any more.
+    /// The backend server has begun or ceased to accept work.
     virtual void phase_changed() = 0;
 };
 
-/// The only caller of a backend server: keeps its runs, its room, its hold and
-/// the ends that no owner has journalled yet. One thread.
+/// Manages the runs of one backend server and is its only client: it starts,
+/// polls and stops runs, renews the hold, and keeps ends until their owner has
+/// journalled them. Not thread-safe.
 class run_manager final
 {
 public:
-    /// Runs a function after a while.
+    /// Runs a function after a delay.
     using delay = std::function<void(duration, std::function<void()>)>;
 
     /// @param clock Outlives the manager.
-    /// @param runner Outlives the manager.
-    /// @param later Runs delayed work; none after the manager's end.
-    /// @param fencing_token First token; above those of earlier processes.
-    /// @param settings Limits.
+    /// @param server Outlives the manager.
+    /// @param schedule Runs delayed work.
+    /// @param fencing_token First token; greater than those of earlier
+    /// processes.
+    /// @param settings Limits and timeouts.
     run_manager(const clock_source& clock, backend_server_client& server,
                 delay schedule, std::uint64_t fencing_token,
                 const run_manager_settings& settings);
     ~run_manager();
 
-    /// @param listener Told of changes; outlives the manager.
+    /// Sets the listener.
+    /// @param listener Receives changes and outlives the manager; null for
+    /// none.
     void listen(run_listener* listener) { listener_ = listener; }
 
-    /// Begins to look at the runner.
+    /// Begins to poll the backend server.
     void begin();
 
-    /// @return Whether the runner has been looked at, so that runs are known.
+    /// @return Whether the current incarnation has answered a poll.
     bool is_polled() const { return polled_; }
 
-    /// @return Whether an account can be told: the runner has shown its runs,
-    /// or was silent for so long that all have lapsed. What has not been seen
-    /// yet must not be told as not there, for it would begin elsewhere.
+    /// @return Whether accounts may be given to owners: the backend server has
+    /// listed its runs, or was silent for so long that all runs have lapsed. An
+    /// owner restarts the runs that an account does not list.
     bool are_runs_known() const;
 
-    /// @param account As the runner registers itself.
-    /// @param times That it told with it.
-    /// @return Whether it counts.
+    /// Handles a registration or heartbeat.
+    /// @param account What the backend server reported.
+    /// @param times Times that it reported along with the account.
+    /// @return Whether the account is used.
     heartbeat_outcome registered(const server_account& account,
                                  const server_timing& times = {});
 
-    /// What the last process of this agent knew. It counts once the backend
-    /// server has answered as that life, and not after a registration.
-    /// @param account As it had registered itself.
+    /// Restores the account kept by the previous process of this agent. It
+    /// takes effect once the backend server has answered as this incarnation;
+    /// later registrations override it.
+    /// @param account Account as last registered.
     void restored(const server_account& account);
 
-    /// @param instance Id of the life that has ended.
+    /// Handles the end of an incarnation.
+    /// @param instance Its id.
     void departed(const std::string& instance);
 
-    /// A life says that it ends. Where it has not said before that it leaves,
-    /// the word may be an earlier life's: a look decides.
-    /// @param life Whose word it is, as far as it is told.
+    /// Handles a sign-off. Unless the incarnation has announced its shutdown,
+    /// the sign-off may belong to an earlier one, and a poll decides.
+    /// @param incarnation The sender, as far as it is known.
     void signed_off(const server_incarnation& incarnation);
 
-    /// Takes a lease's holder.
-    /// @param lease A part's, or an entry's.
-    /// @param epoch The owner's; 0 for an entry's lease.
-    /// @return What is known, or that a later owner has been here. For an
-    /// entry's lease that includes what nobody has claimed.
+    /// Sets the holder of a lease.
+    /// @param lease Lease of a part or of an entry.
+    /// @param epoch Epoch of the owner; 0 for the lease of an entry.
+    /// @return The runs and ends of the lease, or that a later owner has
+    /// adopted it. For an entry's lease this includes unclaimed runs.
     lease_account adopt(lease_id lease, std::uint32_t epoch);
 
-    /// @param lease A part's, or an entry's.
-    /// @param epoch Whose lease is renewed.
-    /// @param confirmed When this agent sent what the holder has confirmed.
+    /// Renews a lease, counted from the time of the confirmed report.
+    /// @param lease Lease of a part or of an entry.
+    /// @param epoch Epoch of the holder; 0 for the lease of an entry.
+    /// @param confirmed Time when this agent sent the report that the holder
+    /// confirmed.
     void renew(lease_id lease, std::uint32_t epoch, instant confirmed);
 
-    /// @param lease A part's, or an entry's.
-    /// @return Whether runs may start under it now.
+    /// @return Whether the lease is valid, so that runs may start under it.
     bool is_leased(lease_id lease) const;
 
-    /// A new session of the holder begins: orders of the last one that have not
-    /// begun come back, for the holder may have ordered them elsewhere.
-    /// @param lease An entry's.
+    /// Ends the waiting orders of a lease as `not_begun`: its holder has opened
+    /// a new session and may have ordered them elsewhere.
     void refuse_waiting(lease_id lease);
 
-    /// @return Leases with runs here, or with ends that wait for an owner.
+    /// @return Leases with runs here or with unconfirmed ends.
     std::set<lease_id> leases_in_use() const;
 
-    /// @param lease Its holder's process has ended.
+    /// Ends a lease early, because its holder's process has ended.
     void expire(lease_id lease);
 
-    /// @param order A start; a refused one ends as `not_begun`.
-    /// @param memory Lease of the entry that orders, for a job in memory.
+    /// Accepts or refuses an order.
+    /// @param order Order to start a run; a refused one ends as `not_begun`.
+    /// @param memory Lease of the ordering entry, for an in-memory job.
     void order(run_order order, lease_id memory);
 
-    /// @param run What to stop.
+    /// Stops a run, or ends a waiting order.
     void stop(const run_ref& run);
 
-    /// @param order What a run takes that was found running.
-    /// @param memory Lease of the entry that claims it, for a job in memory.
+    /// Sets the resources of a run that was found running.
+    /// @param order Order with the run and its resources.
+    /// @param memory Lease of the claiming entry, for an in-memory job.
     void size(const run_order& order, lease_id memory);
 
-    /// @param end An end that is in the journal.
+    /// Removes an end that is in the journal.
     void confirm(const run_end& end);
 
-    /// @param evacuated Whether the hall gets no new work; what runs goes on.
+    /// Starts or ends the evacuation of the hall.
+    /// @param evacuated Whether the hall accepts no new work; runs continue.
     void evacuate(bool evacuated);
 
-    /// @return Whether the hall gets no new work.
+    /// @return Whether the hall accepts no new work.
     bool evacuated() const { return evacuated_; }
 
-    /// Does what is due.
+    /// Handles expired leases, lost answers and stalled runs; called
+    /// periodically.
     void tick();
 
-    /// Takes no more orders; what runs goes on.
+    /// Stops accepting orders; runs continue.
     void drain();
 
-    /// @return Whether nothing runs or waits to be confirmed.
+    /// @return Whether there are no runs and no unconfirmed ends.
     bool idle() const { return runs_.empty() && unconfirmed_.empty(); }
 
-    /// @return What the runner said of itself, and whether it answers.
+    /// @return The last account, with the effective phase.
     const server_account& account() const { return account_; }
 
-    /// @return Whether it takes work by its own word.
+    /// @return The phase that the backend server itself reported.
     server_phase reported_phase() const { return reported_phase_; }
 
-    /// @return Room as owners should see it.
+    /// @return The load as it is reported to owners.
     server_load load() const;
 
-    /// @return How long runs take there, over what was expected.
+    /// @return The estimated pace of the backend server.
     const server_pace& pace() const { return pace_; }
 
     /// @return Ends that no owner has confirmed.
     const unconfirmed_ends& unconfirmed() const { return unconfirmed_; }
 
-    /// @param lease A lease.
-    /// @return Runs that began since the last call.
+    /// @return Runs of the lease that have started since the last call.
     std::vector<run_ref> take_started(lease_id lease);
 
-    /// @param lease A lease.
-    /// @return Its ends that were not taken yet, to be told to its holder.
+    /// @return Ends of the lease that its holder has not received yet.
     std::vector<run_end> take_ends(lease_id lease);
 
     /// @return Counters.
     const run_manager_stats& stats() const { return stats_; }
 
 private:
-    /// One run that has not ended.
+    /// A run that has not ended.
     struct run_record
     {
-        run_order order;                      ///< As ordered or found.
-        lease_id lease = unclaimed_lease;     ///< Under which it goes on.
-        run_phase phase = run_phase::waiting; ///< Where it stands.
-        bool are_needs_known = true;          ///< Its needs are known.
-        bool is_stop_pending = false;         ///< A stop is out.
-        std::uint32_t stop_attempts = 0;      ///< Sent.
-        instant phase_changed_at{};           ///< When the phase changed.
-        instant stop_sent{};                  ///< Last stop.
-        instant settled_at{}; ///< Doubtful: when it could not begin any more.
-        instant
-            orphaned_at{}; ///< Its lease was found expired; zero: it has one.
-        std::uint32_t percent = 0; ///< Of its work, as last shown.
-        instant started{};         ///< When it began, time run.
-        instant progressed_at{};   ///< When the percent last rose, time run.
-        instant latest_start{};    ///< Doubtful: it can't begin later, time
-                                   ///< run.
-        instant ordered_at{};      ///< When its order came.
-        bool unfinishable = false; ///< It can't end before its server leaves.
-        bool may_have_run = false; ///< In a life that ended before its answer.
+        /// The order; only the run itself where it was found running.
+        run_order order;
+        lease_id lease = unclaimed_lease; ///< Lease under which it runs.
+        run_phase phase = run_phase::waiting;
+        bool are_needs_known = true; ///< Whether its resources are known.
+        /// Whether a stop was sent and not refused.
+        bool is_stop_pending = false;
+        std::uint32_t stop_attempts = 0; ///< Stops sent since the last refusal.
+        instant phase_changed_at{};
+        instant stop_sent{}; ///< Time of the last stop.
+        /// Time when a stop was confirmed or a late start became impossible;
+        /// zero: neither.
+        instant settled_at{};
+        /// Time when its lease was found expired; zero: the lease is valid.
+        instant orphaned_at{};
+        std::uint32_t percent = 0; ///< Progress at the last poll.
+        instant started{};         ///< Start time, not counting suspended time.
+        /// Time of the last progress, not counting suspended time.
+        instant progressed_at{};
+        /// Latest possible start of a doubtful run, not counting suspended
+        /// time.
+        instant latest_start{};
+        instant ordered_at{}; ///< Time when its order arrived.
+        /// Whether it cannot finish before its server shuts down.
+        bool unfinishable = false;
+        /// Whether it may have run in an earlier incarnation.
+        bool may_have_run = false;
     };
 
-    /// What is known of one lease.
+    /// State of one lease.
     struct lease_record
     {
-        std::uint32_t epoch = 0;       ///< Highest adopted.
-        std::uint32_t lease_epoch = 0; ///< Whose lease it is.
-        instant expires_at{};          ///< Its end.
-        std::vector<run_ref> started;  ///< Not yet told.
+        std::uint32_t epoch = 0; ///< Highest epoch that adopted the lease.
+        std::uint32_t lease_epoch = 0; ///< Epoch that renewed the lease last.
+        instant expires_at{};
+        /// Started runs that have not been reported.
+        std::vector<run_ref> started;
     };
 
-    /// A look that is out.
+    /// A poll that was sent.
     struct sent_poll
     {
-        std::uint64_t number = 0;       ///< Of the look.
-        instant sent{};                 ///< When it left.
-        server_incarnation incarnation; ///< That it expects; empty: any.
-        std::uint64_t acknowledged =
-            0;                  ///< Ends up to this one may be forgotten,
-        std::uint64_t link = 0; ///< by the life that this one leads to,
-        std::int64_t acknowledged_born_ms =
-            0; ///< which started then; 0: not told.
+        std::uint64_t number = 0;
+        instant sent{};
+        server_incarnation incarnation; ///< Expected incarnation; empty: any.
+        /// Highest end number that was acknowledged.
+        std::uint64_t acknowledged = 0;
+        /// Connection to which the acknowledgement applies.
+        std::uint64_t link = 0;
+        /// Start time of the acknowledged incarnation; 0: unknown.
+        std::int64_t acknowledged_born_ms = 0;
     };
 
     using runs = std::unordered_map<run_ref, run_record, run_ref_hash>;
@@ -486,7 +522,7 @@
     void start_answered(const run_ref& ref, const order_result& answer);
     void send_stop(run_record& run);
     void stop_answered(const run_ref& ref, const order_result& answer);
-    void started(run_record& run);
+    void mark_started(run_record& run);
     void mark_doubtful(run_record& run);
     void end_run(const run_ref& ref, run_outcome outcome, std::uint64_t number);
     void erase_run(const run_ref& ref);
@@ -528,59 +564,71 @@
     std::uint32_t probing_cpu_used() const;
     void update_phase();
 
-    const clock_source& clock_;        ///< This agent's.
-    backend_server_client& server_;    ///< The runner.
-    delay schedule_;                   ///< Delayed work.
-    run_manager_settings settings_;    ///< Limits.
-    run_listener* listener_ = nullptr; ///< Told of changes.
-    std::uint64_t fencing_token_;      ///< Fencing token.
-    server_account account_;           ///< As last registered.
-    server_phase reported_phase_ = server_phase::absent; ///< By the runner.
-    heartbeat_order heartbeats_;                         ///< Which are late.
-    std::optional<server_account> candidate_; ///< A life that has registered
-                                              ///< while another answers.
-    instant candidate_since_{};               ///< When it did.
-    server_pace pace_;                        ///< Of the registered life.
-    duration poll_gap_{};         ///< Between the last two answered looks.
-    bool is_verified_ = false;    ///< The registered life has answered.
-    bool is_restored_ = false;    ///< It has not registered with this process.
-    bool has_registered_ = false; ///< Some life has, with this process.
-    std::int64_t listed_born_ms_ = 0; ///< Start of the life that the last look
-                                      ///< showed; 0: not told.
-    std::optional<instant> signed_off_at_; ///< When a word of its end came that
-                                           ///< a look has to bear out.
-    std::uint64_t listed_link_ = 0; ///< Connection by which the last list came
-                                    ///< that was taken; 0: none.
-    bool last_poll_failed_ = false; ///< The last look got no answer: another
-                                    ///< life may be there.
-    bool evacuated_ = false;       ///< The hall gets no new work.
-    server_clock server_clock_;    ///< The runner's clock as seen here.
-    server_breaker breaker_;       ///< Judges it by the ends of its runs.
-    runs runs_;                    ///< Not ended.
-    unconfirmed_ends unconfirmed_; ///< Ended, not confirmed.
-    std::map<lease_id, lease_record> leases_; ///< By lease.
-    resources used_;                          ///< By sized runs past waiting.
-    std::size_t runs_without_needs_ = 0;      ///< Runs of unknown needs.
-    std::uint32_t max_order_cpu_ = 0;         ///< Of any order so far.
-    bool polled_ = false;                     ///< A look has been answered.
-    bool poll_pending_ = false;               ///< A look is awaited.
-    bool poll_at_once_ = false;               ///< The next look does not wait.
-    std::uint64_t poll_number_ = 0;           ///< Of the latest look.
-    std::uint32_t pending_polls_ = 0;         ///< Unanswered ones.
-    bool draining_ = false;                   ///< No more orders.
-    bool hold_lapsing_ = false;               ///< The hold is left to lapse.
-    // The backend server counts the time that its machine has run, and so do
-    // these; leases count suspended time as well.
-    instant lapse_end_{};            ///< When it surely has.
-    instant held_until_{};           ///< Latest end of the hold.
-    instant pending_hold_end_{};     ///< Of the look that is out.
-    instant backoff_until_{};        ///< The runner is left alone.
-    duration refusal_backoff_{};     ///< The last such time.
-    instant last_answer_{};          ///< Last answer to a look, time
-                                     ///< run.
-    instant ended_run_stopped_at_{}; ///< Last stop of an ended run.
-    run_manager_stats stats_;        ///< Counters.
-    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true); ///< Guard.
+    const clock_source& clock_;
+    backend_server_client& server_; ///< The backend server.
+    delay schedule_;                ///< Runs delayed work.
+    run_manager_settings settings_;
+    run_listener* listener_ = nullptr;
+    std::uint64_t fencing_token_;
+    server_account account_;
+    /// Phase reported by the backend server.
+    server_phase reported_phase_ = server_phase::absent;
+    /// Detects heartbeats that arrive out of order.
+    heartbeat_order heartbeats_;
+    /// Registered incarnation that no poll has confirmed, while another one is
+    /// known.
+    std::optional<server_account> candidate_;
+    instant candidate_since_{}; ///< Time of the candidate's registration.
+    server_pace pace_;          ///< Pace of the registered incarnation.
+    duration poll_gap_{};       ///< Time between the last two answered polls.
+    /// The registered incarnation has answered a poll.
+    bool is_verified_ = false;
+    /// The account was restored and not registered since.
+    bool is_restored_ = false;
+    /// An incarnation has registered with this process.
+    bool has_registered_ = false;
+    /// Start time in the last poll's answer; 0: unknown.
+    std::int64_t listed_born_ms_ = 0;
+    /// Time of a sign-off that a poll must confirm.
+    std::optional<instant> signed_off_at_;
+    /// Connection of the last list that was used; 0: none.
+    std::uint64_t listed_link_ = 0;
+    /// Another incarnation may have replaced the known one.
+    bool last_poll_failed_ = false;
+    bool evacuated_ = false;    ///< The hall accepts no new work.
+    server_clock server_clock_; ///< The backend server's clock as known here.
+    server_breaker breaker_;    ///< Circuit breaker, based on the ends of runs.
+    runs runs_;                 ///< Runs that have not ended.
+    unconfirmed_ends unconfirmed_;
+    std::map<lease_id, lease_record> leases_;
+    resources used_; ///< Resources of known needs, without waiting runs.
+    /// Number of runs with unknown resources.
+    std::size_t runs_without_needs_ = 0;
+    std::uint32_t max_order_cpu_ = 0; ///< Largest CPU demand of any order.
+    bool polled_ = false; ///< The current incarnation has answered a poll.
+    bool poll_pending_ = false; ///< The latest poll is unanswered.
+    /// The next poll must be answered without waiting.
+    bool poll_at_once_ = false;
+    std::uint64_t poll_number_ = 0;   ///< Number of the latest poll.
+    std::uint32_t pending_polls_ = 0; ///< Number of unanswered polls.
+    bool draining_ = false;           ///< No orders are accepted.
+    /// The hold is not renewed until it has lapsed.
+    bool hold_lapsing_ = false;
+    // The times below do not count suspended time, like the backend server's
+    // clock; leases do count it.
+    instant lapse_end_{};  ///< Time when the hold has certainly lapsed.
+    instant held_until_{}; ///< Latest end of the hold.
+    /// End of the hold if the pending poll renews it.
+    instant pending_hold_end_{};
+    /// End of the backoff after a refused start; counts suspended time.
+    instant backoff_until_{};
+    duration refusal_backoff_{}; ///< Length of the last backoff.
+    instant last_answer_{};      ///< Time of the last answered poll.
+    /// Time of the last stop of an ended run; counts suspended time.
+    instant ended_run_stopped_at_{};
+    run_manager_stats stats_;
+    /// False once destroyed; checked by callbacks.
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/run_manager_incarnations.cpp
+++ b/src/glenhollow/runs/run_manager_incarnations.cpp
@@ -1,4 +1,4 @@
-// Lives of the backend server, and whether it takes work.
+// Incarnations of the backend server, and whether it accepts work.
 #include "glenhollow/runs/run_manager.hpp"
 
 #include "glenhollow/runs/run_manager_timing.hpp"
@@ -11,10 +11,10 @@
 
 using namespace manager_timing;
 
-/// A heartbeat that was held back may come after its sender has ended and the
-/// next life has registered. Which life is there is told by the backend server
-/// itself: it refuses a look that expects another id, and its lists name its
-/// start, which alone tells lives of one id apart.
+/// A delayed heartbeat may arrive after its sender has ended and the next
+/// incarnation has registered. The server's answers to polls decide: it refuses
+/// a poll for another id, and its lists contain its start time, which
+/// distinguishes incarnations of the same id.
 heartbeat_outcome run_manager::registered(const server_account& heartbeat,
                                           const server_timing& times)
 {
@@ -35,7 +35,7 @@
     if (is_same || (account_.instance.empty() && matches_listed))
         apply_account(account);
     else if (!is_verified_ && matches_listed)
-        replace_incarnation(account); // No look has spoken for the other.
+        replace_incarnation(account); // No poll has confirmed the other.
     else
         set_candidate(account);
     return outcome;
@@ -64,7 +64,7 @@
     return heartbeat_outcome::without_start_time;
 }
 
-/// Another life has registered than that which answers, or has last answered.
+/// Another incarnation has registered than the one that answers polls.
 void run_manager::set_candidate(const server_account& other)
 {
     if (!candidate_ || candidate_->incarnation() != other.incarnation())
@@ -73,12 +73,13 @@
     poll_now();
 }
 
-/// Backend servers live on while this process is away, and register again only
-/// with their next heartbeat; a look tells at once whether the life is the
-/// same.
+/// Backend servers continue to run while this process restarts, and register
+/// again only with their next heartbeat. A poll shows at once whether the
+/// restored incarnation is still running.
 void run_manager::restored(const server_account& account)
 {
-    // A heartbeat that was on its way when this process began may be older.
+    // A heartbeat sent before this process started may precede the restored
+    // one.
     const bool is_newer = may_be_same_incarnation(account_.incarnation(),
                                                   account.incarnation()) &&
                           account.sequence > account_.sequence;
@@ -106,7 +107,7 @@
     account_.phase = phase;
     reported_phase_ = account.phase;
     if (is_new)
-        pace_.reset(); // It may be of another kind, also at this address.
+        pace_.reset(); // The new one may differ in speed.
     handle_leaving_notice(previous_leaves_at);
     if (is_new)
         log_change(log_level::info, "runner_registered",
@@ -117,14 +118,15 @@
     update_phase();
     if (is_new)
         notify_load_changed();
+    // The pending poll expects no incarnation.
     if (is_new && polled_)
-        poll_now(); // The look that is out expects no life.
+        poll_now();
     start_waiting();
 }
 
 void run_manager::replace_incarnation(const server_account& next)
 {
-    const auto account = next; // It may be the candidate, which ends here.
+    const auto account = next; // A copy: next may refer to candidate_.
     candidate_.reset();
     if (account_.instance.empty())
         return apply_account(account);
@@ -137,8 +139,9 @@
     apply_account(account);
 }
 
-/// The registered life has answered.
-/// @param sent When the look left.
+/// Marks the registered incarnation as verified, because it answered a poll,
+/// and drops an older candidate.
+/// @param sent Time when the poll was sent.
 void run_manager::confirm_incarnation(instant sent)
 {
     is_verified_ = true;
@@ -153,7 +156,7 @@
     candidate_.reset();
 }
 
-/// Another life answered: what the registered one ran has ended with it.
+/// Another incarnation has answered; the runs of the registered one have ended.
 void run_manager::end_incarnation()
 {
     if (candidate_)
@@ -172,10 +175,10 @@
     if (std::exchange(is_restored_, false) && !is_verified_)
         ++stats_.restored_ended;
     candidate_.reset();
-    const bool matches_listed = is_verified_;
+    const bool was_verified = is_verified_;
     clear_account();
-    // What was found running may be another life's than that which departs.
-    if (!matches_listed)
+    // The runs found may belong to another incarnation than the departed one.
+    if (!was_verified)
         return;
     end_all(run_outcome::lapsed);
     unconfirmed_.reset_numbers();
@@ -186,7 +189,8 @@
     listed_link_ = 0;
 }
 
-/// Until a life has registered nothing starts: it may be of another kind.
+/// Nothing is started until an incarnation registers, since its kind is
+/// unknown.
 void run_manager::clear_account()
 {
     account_.instance.clear();
@@ -213,8 +217,8 @@
     poll_now();
 }
 
-/// The registered life has answered.
-/// @param sent When the look left.
+/// Drops an earlier sign-off, because the registered incarnation answered.
+/// @param sent Time when the poll was sent.
 void run_manager::check_sign_off(instant sent)
 {
     if (!signed_off_at_ || sent < *signed_off_at_)
@@ -226,9 +230,10 @@
     signed_off_at_.reset();
 }
 
-/// What is known of the life that was there counts for nothing with the one
-/// that the lists are of, however alike their ids are.
-/// @param born_ms Start of the life that shows its runs; 0: not told.
+/// Discards what is known about an incarnation with another start time, even if
+/// the ids are equal.
+/// @param born_ms Start time of the incarnation that listed its runs; 0:
+/// unknown.
 void run_manager::update_start_time(std::int64_t born_ms)
 {
     if (born_ms == 0)
@@ -248,9 +253,9 @@
     apply_account(next);
 }
 
-/// Runs are settled one by one, by what the new life shows: an order that was
-/// meant for the last one may have been taken by this one.
-/// @param before_ms Start of the life before.
+/// The runs are settled one by one by what the new incarnation lists: it may
+/// have accepted an order meant for the old one.
+/// @param before_ms Start time of the previous incarnation.
 void run_manager::handle_same_id_restart(std::int64_t before_ms)
 {
     ++stats_.same_id_restarts;
@@ -266,8 +271,8 @@
         run.may_have_run = occupies(run.phase);
 }
 
-/// The backend server's own word counts while it answers and takes starts; in
-/// an evacuated hall it counts as draining.
+/// The phase reported by the server applies while it answers and is not in
+/// backoff. In an evacuated hall a ready server counts as draining.
 void run_manager::update_phase()
 {
     const bool answers = clock_.running() - last_answer_ < silence_limit();
--- a/src/glenhollow/runs/run_manager_leases.cpp
+++ b/src/glenhollow/runs/run_manager_leases.cpp
@@ -1,4 +1,4 @@
-// Leases: who may have runs here, and what becomes of them without.
+// Leases of runs, and the handling of runs and ends whose lease has expired.
 #include "glenhollow/runs/run_manager.hpp"
 
 #include "glenhollow/runs/run_manager_timing.hpp"
@@ -17,7 +17,7 @@
     return leases_[run.lease];
 }
 
-/// Of a run that this process did not start.
+/// @return The lease of a run that this process did not start.
 lease_id run_manager::implied_lease(const run_ref& run) const
 {
     return run.in_memory() ? unclaimed_lease
@@ -40,9 +40,9 @@
                     {"epoch", epoch},
                     {"previous_epoch", record.epoch}});
     record.epoch = epoch;
-    // What was ordered before and has not begun: a task that another owner in
-    // between, or the same one while this agent was away, has had begin
-    // elsewhere must not begin here.
+    // Orders that have not started must not start under the new adoption: their
+    // tasks may have been started elsewhere, by another owner in between or by
+    // this one while the agent was unreachable.
     if (is_part_lease(lease))
         refuse_waiting(lease);
     const auto is_covered = [lease](lease_id of)
@@ -123,7 +123,8 @@
     return known == leases_.end() || now >= known->second.expires_at;
 }
 
-/// @return When nothing runs under it any more; zero where it has no holder.
+/// @return Time by which no run of the lease runs any more; zero without a
+/// holder.
 instant run_manager::lease_end(lease_id lease) const
 {
     const auto known = leases_.find(lease);
@@ -132,11 +133,12 @@
     return known->second.expires_at + settings_.stop_time;
 }
 
-/// This process may stand still at any moment, and then stops nothing: what
-/// runs there must end by itself while its holder's word still counts, for its
-/// caller may send it to another entry right after. The hold is one for all, so
-/// it ends with the first of their leases and the time to stop those runs.
-/// @return Until when the runner may be told to go on.
+/// This process may be suspended at any time and then stops no runs. Each run
+/// must therefore end by itself while its holder's confirmation is still valid,
+/// because a caller may resend its job to another entry afterwards. One hold
+/// covers all runs, so it ends with the earliest lease plus the time to stop
+/// its runs.
+/// @return Time until which the server may continue its runs.
 instant run_manager::hold_end() const
 {
     auto end = clock_.now() + settings_.hold;
@@ -148,10 +150,10 @@
     return end;
 }
 
-/// A part whose owner is silent: what runs for it must be dead before a
-/// successor may start it elsewhere, and its ends must not be taken back
-/// later. Both hold once the runner's hold has lapsed. What runs in memory
-/// for a silent entry is stopped, and lapses where that fails.
+/// The runs of a part whose lease expires must end before another owner starts
+/// them elsewhere, and the ends of the part must not be withdrawn later. Both
+/// are certain once the hold has lapsed. In-memory runs of a silent entry are
+/// stopped; the hold lapses only if that fails.
 void run_manager::check_leases()
 {
     if (hold_lapsing_)
@@ -186,7 +188,8 @@
         }
         if (run.phase == run_phase::waiting &&
             now - run.phase_changed_at < settings_.claim_timeout)
-            continue; // Its entry had nothing here: the lease is on its way.
+            // The entry had no runs here; its lease is about to be renewed.
+            continue;
         if (run.orphaned_at.count() == 0)
         {
             run.orphaned_at = now;
--- a/src/glenhollow/runs/run_manager_leaving.cpp
+++ b/src/glenhollow/runs/run_manager_leaving.cpp
@@ -1,5 +1,4 @@
-// What a backend server tells of its times: when it leaves, whether it is slow
-// from its start; and how quick it is.
+// Announced shutdowns and the pace of the backend server.
 #include "glenhollow/runs/run_manager.hpp"
 
 #include "glenhollow/telemetry/log.hpp"
@@ -21,8 +20,8 @@
 
 } // namespace
 
-/// An account may lie here for long before it is read, as when this process was
-/// paused: what it told counts from when it was told.
+/// An account may be processed late, for example after this process was
+/// suspended. Its times are relative to when it was sent.
 void run_manager::adjust_for_age(server_account& account,
                                  const server_timing& times) const
 {
@@ -39,7 +38,8 @@
     account.cold_until = now + times.cold - age;
 }
 
-/// @param before What the same life had told until now.
+/// @param before Shutdown time announced by the same incarnation before, if
+/// any.
 void run_manager::handle_leaving_notice(const std::optional<instant>& before)
 {
     if (!account_.leaves_at || before)
@@ -52,9 +52,9 @@
     check_leaving();
 }
 
-/// Runs that would end with their backend server are stopped while they can
-/// still be of use elsewhere. Their owner is told once they have ended here,
-/// and no sooner: no task runs twice at once.
+/// Stops runs that would end with the server while they can still finish
+/// elsewhere. The owner learns of the end only after the stop is confirmed, so
+/// that no task runs twice at the same time.
 void run_manager::check_leaving()
 {
     if (!account_.leaves_at)
@@ -107,8 +107,7 @@
     }
 }
 
-/// Ends seen late say how long nothing was looked at, and those at a server
-/// that is slow from its start say nothing of it later.
+/// Ignores ends that were seen late and ends during the warm-up of the server.
 void run_manager::record_pace(const run_record& run)
 {
     const bool cold = run.phase_changed_at < account_.cold_until;
--- a/src/glenhollow/runs/run_manager_polling.cpp
+++ b/src/glenhollow/runs/run_manager_polling.cpp
@@ -1,4 +1,4 @@
-// Looks at the runner: what runs, what has ended, whether it answers.
+// Polling of the backend server: current runs, ends, and whether it answers.
 #include "glenhollow/runs/run_manager.hpp"
 
 #include "glenhollow/runs/run_manager_timing.hpp"
@@ -13,10 +13,12 @@
 
 using namespace manager_timing;
 
-/// Waits for an answer. A timer that comes late says that this process was
-/// not run meanwhile; the answer may be here, unread.
-/// @param awaited Whether the answer is still missing.
-/// @param missed Called when it has not come in time.
+/// Calls a handler if an answer is missing after a timeout. A timer that fires
+/// late shows that this process was delayed and may not have read the answer
+/// yet; the wait is then extended.
+/// @param wait Timeout.
+/// @param is_pending Whether the answer is still missing.
+/// @param on_timeout Called if it is missing after the timeout.
 void run_manager::await_answer(duration wait, std::function<bool()> is_pending,
                                std::function<void()> on_timeout)
 {
@@ -35,9 +37,9 @@
               });
 }
 
-/// A start without an answer may be carried out seconds later. Unless a look
-/// shows the run, a stop by its number bars that, and the sooner the task can
-/// start elsewhere the better.
+/// A start without an answer may be carried out seconds later. Unless a poll
+/// lists the run, a stop prevents that, so that the task can soon start
+/// elsewhere.
 void run_manager::await_start(const run_ref& ref)
 {
     await_answer(
@@ -51,11 +53,11 @@
         [this, ref]
         {
             mark_doubtful(runs_.at(ref));
-            poll_now(); // It may run, and only its answer be lost.
+            poll_now(); // Only the answer may be lost.
         });
 }
 
-/// While a look is not answered nothing is known of ends: another one is sent.
+/// Ends are unknown while a poll is unanswered, so another poll is sent.
 void run_manager::await_poll(std::uint64_t number, duration wait)
 {
     await_answer(
@@ -64,14 +66,14 @@
         [this, number, wait]
         {
             if (pending_polls_ >= settings_.max_pending_polls)
-                return await_poll(number, wait); // It is silent.
+                return await_poll(number, wait); // The server is silent.
             ++stats_.polls_lost;
             last_poll_failed_ = true;
             poll_now();
         });
 }
 
-/// Does not wait for the look that is out.
+/// Sends a poll without waiting for the pending one.
 void run_manager::poll_now()
 {
     if (pending_polls_ >= settings_.max_pending_polls)
@@ -95,10 +97,10 @@
     request.confirmed = unconfirmed_.confirmed();
     request.link = listed_link_;
     pending_hold_end_ = {};
-    // A look that is not answered may renew the hold all the same; a runner
-    // that stays silent must be let go of before its runs count as ended.
+    // An unanswered poll may renew the hold. If the server stays silent, its
+    // hold must lapse before its runs count as ended.
     const auto hold_length = hold_end() - clock_.now();
-    // Nor is anything renewed that was not seen: it may be nobody's.
+    // Unseen runs are not renewed either, since they may have no holder.
     const bool renews_nothing =
         hold_lapsing_ ||
         clock_.running() - last_answer_ > max_unanswered_renewal || !polled_ ||
@@ -107,7 +109,7 @@
         request.context.deadline_ms = 0;
     else if (server_clock_.known())
         pending_hold_end_ = clock_.running() + with_drift(hold_length);
-    // A life that has just registered is met without delay.
+    // A newly registered incarnation is polled without waiting.
     const bool is_verified = is_verified_ || account_.instance.empty();
     const bool at_once = std::exchange(poll_at_once_, false);
     if (!unconfirmed_.has_unsettled() && server_clock_.known() && polled_ &&
@@ -129,10 +131,11 @@
                                      const hold_result& answer)
 {
     --pending_polls_;
+    // A later poll has replaced it.
     if (poll_sent.number != poll_number_)
-        return; // Given up: a later one tells more.
-    // What the last life answered must not count for one that has registered
-    // under its id since.
+        return;
+    // An answer of the previous incarnation does not apply to one that has
+    // registered under the same id since.
     const bool is_expected =
         !poll_sent.incarnation.empty() &&
         may_be_same_incarnation(poll_sent.incarnation, account_.incarnation());
@@ -156,7 +159,7 @@
     if (done)
     {
         check_ack(poll_sent, answer);
-        // Start, connection and clock are of one life: that of the list.
+        // Start time, connection and clock belong to the listed incarnation.
         listed_link_ = answer.link;
         update_start_time(answer.born_ms);
         server_clock_.update(clock_.running(), answer.clock_ms);
@@ -177,7 +180,8 @@
     schedule_poll(done);
 }
 
-/// A mark that comes to another life makes it forget ends that nobody has seen.
+/// An acknowledgement that reaches another incarnation would make it forget
+/// ends that were never seen.
 void run_manager::check_ack(const sent_poll& poll_sent,
                             const hold_result& answer)
 {
@@ -219,14 +223,15 @@
     }
 }
 
-/// Its end was told, so that its task may run elsewhere or its job have ended:
-/// nobody would ever stop it.
+/// A run listed after its end was reported must be stopped: its task may run
+/// elsewhere, and no owner would stop it.
 void run_manager::stop_ended_run(instant sent, const run_ref& ref)
 {
     const auto& entry = unconfirmed_.ends().at(ref);
+    // The poll may precede the end.
     if (entry.recorded_at >= sent ||
         clock_.now() - ended_run_stopped_at_ < stop_retry)
-        return; // The look may have left before the end.
+        return;
     ended_run_stopped_at_ = clock_.now();
     ++stats_.ended_runs_stopped;
     log_change(log_level::warning, "ended_run_still_listed",
@@ -272,7 +277,7 @@
         auto& run = known->second;
         const bool was_doubtful = run.phase == run_phase::doubtful;
         if (run.phase == run_phase::starting || was_doubtful)
-            started(run);
+            mark_started(run);
         if (was_doubtful && run.is_stop_pending)
             run.phase = run_phase::stopping;
         if (listed.percent > run.percent)
@@ -286,7 +291,7 @@
                    {{"runs", stats_.found - runs_found_before}});
 }
 
-/// Runs that the runner ought to show and does not.
+/// Settles runs that the server should list and does not.
 void run_manager::resolve_missing(instant sent,
                                   const std::vector<server_run>& running)
 {
@@ -307,7 +312,7 @@
             run.phase_changed_at < sent &&
             (run.phase == run_phase::running ||
              (run.settled_at.count() != 0 && run.settled_at < sent));
-        // A stop that was answered by then was carried out before the look.
+        // A stop answered before the poll was carried out before it.
         const bool never_started = run.phase == run_phase::doubtful &&
                                    run.settled_at.count() != 0 &&
                                    run.settled_at <= sent;
@@ -337,9 +342,9 @@
     }
 }
 
-/// Nobody listens there: it has ended, and what comes next may be of another
-/// kind. No start is tried before it has answered, and no hold is asked for by
-/// the clock of the one that has ended.
+/// Nothing listens at the server's address: the incarnation has ended. Nothing
+/// is started, and no hold is requested by its clock, until a server has
+/// answered.
 void run_manager::handle_unreachable()
 {
     server_clock_.reset();
@@ -353,8 +358,8 @@
     return with_drift(settings_.hold) + lapse_margin;
 }
 
-/// A process that was only just asked, or has only just begun, has not seen
-/// what its server does.
+/// A process that has just started or has just sent its first poll does not
+/// know the runs yet.
 bool run_manager::are_runs_known() const
 {
     const auto now = clock_.running();
@@ -367,8 +372,8 @@
     return std::max(held_until_, pending_hold_end_);
 }
 
-/// A runner that answers nothing has let go of everything by now. It counts the
-/// time that its machine has run.
+/// The runs of a silent server have lapsed after this time, by a clock that
+/// does not count suspended time.
 void run_manager::check_silence()
 {
     const auto now = clock_.running();
@@ -377,8 +382,9 @@
     set_phase(server_phase::absent);
     if (!runs_.empty() && now >= latest_hold() + lapse_margin)
         end_all(run_outcome::lapsed);
+    // No poll contradicts the candidate any more.
     if (candidate_ && runs_.empty())
-        replace_incarnation(*candidate_); // Nobody speaks against it any more.
+        replace_incarnation(*candidate_);
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/run_manager_timing.hpp
+++ b/src/glenhollow/runs/run_manager_timing.hpp
@@ -4,33 +4,32 @@
 #include "glenhollow/core/clock.hpp"
 #include "glenhollow/runs/run_manager.hpp"
 
-/// What the parts of run_manager share; nothing else includes it.
+/// Timing shared by the source files of run_manager.
 namespace glenhollow::manager_timing
 {
 
-/// Steady clocks may differ by this share.
+/// Maximum relative drift between two steady clocks.
 inline constexpr double max_clock_drift = 0.02;
-/// Past the end of a hold before its runs count as ended.
+/// Time after the end of a hold before its runs count as ended.
 inline constexpr duration lapse_margin = milliseconds{60};
-/// Between two stops of one run; twice what a stop takes by the platform.
+/// Time between two stops of the same run.
 inline constexpr duration stop_retry = milliseconds{100};
-/// Between looks that get no answer.
+/// Time between polls that get no answer.
 inline constexpr duration poll_retry = milliseconds{50};
-/// Unanswered looks renew the hold so long.
+/// Time without an answer during which polls still renew the hold.
 inline constexpr duration max_unanswered_renewal = milliseconds{800};
-/// Added to a fencing token that was refused.
+/// Increment of a refused fencing token.
 inline constexpr std::uint64_t token_step = 60'000;
 
-/// @param length On the runner's clock.
-/// @return The longest that may take on this machine's.
+/// @param length Duration on the backend server's clock.
+/// @return The longest equivalent duration on the local clock.
 constexpr duration with_drift(duration length)
 {
     return length +
            std::chrono::duration_cast<duration>(length * max_clock_drift);
 }
 
-/// @param phase Of a run.
-/// @return Whether it takes room.
+/// @return Whether a run in this phase uses resources of the backend server.
 inline bool occupies(run_phase phase)
 {
     return phase != run_phase::waiting;
--- a/src/glenhollow/runs/run_wire.cpp
+++ b/src/glenhollow/runs/run_wire.cpp
@@ -72,7 +72,6 @@
     return load;
 }
 
-/// Fills a list of structures.
 template <class List, class Items>
 void fill_all(List list, const Items& items)
 {
@@ -81,7 +80,6 @@
         fill(list[at++], item);
 }
 
-/// Reads a list of structures.
 template <class Item, class List>
 std::vector<Item> all_from(List list)
 {
@@ -128,8 +126,8 @@
     out.setClaimed(end.claimed);
 }
 
-/// An end in a manner that a newer version names is an end, and takes no
-/// attempt away.
+/// Reads an outcome unknown to this version as `lapsed`, which does not count
+/// as an attempt.
 run_end from_wire(wire::RunEnd::Reader in)
 {
     return {{from_wire(in.getTask()), in.getRun()},
--- a/src/glenhollow/runs/run_wire.hpp
+++ b/src/glenhollow/runs/run_wire.hpp
@@ -7,95 +7,84 @@
 namespace glenhollow
 {
 
-/// @param out Gets the task.
-/// @param task A task.
+/// Writes the task to a message.
 void fill(wire::TaskRef::Builder out, const task_ref& task);
 
-/// @param in A task on the wire.
-/// @return The task.
+/// @return The task in the message.
 task_ref from_wire(wire::TaskRef::Reader in);
 
-/// @param out Gets the run.
-/// @param run A run.
+/// Writes the run to a message.
 void fill(wire::RunRef::Builder out, const run_ref& run);
 
-/// @param in A run on the wire.
-/// @return The run.
+/// @return The run in the message.
 run_ref from_wire(wire::RunRef::Reader in);
 
-/// @param out Gets the end.
-/// @param end A run's end.
+/// Writes the end of a run to a message.
 void fill(wire::RunEnd::Builder out, const run_end& end);
 
-/// @param in An end on the wire.
-/// @return The end.
+/// @return The end of a run in the message.
 run_end from_wire(wire::RunEnd::Reader in);
 
-/// @param out Gets the order.
-/// @param order A start.
+/// Writes the order to a message.
 void fill(wire::RunOrder::Builder out, const run_order& order);
 
-/// @param in An order on the wire.
-/// @return The order.
+/// @return The order in the message.
 run_order from_wire(wire::RunOrder::Reader in);
 
-/// @param out Gets the run.
-/// @param run A run that has not ended.
+/// Writes the listed run to a message.
 void fill(wire::RunState::Builder out, const listed_run& run);
 
-/// @param in A run on the wire.
-/// @return The run.
+/// @return The listed run in the message.
 listed_run from_wire(wire::RunState::Reader in);
 
-/// A runner as its agent reports it to one session.
+/// State of a backend server as its agent reports it to one session.
 struct server_report
 {
-    server_account account;     ///< What it says of itself.
-    server_load load;           ///< What is taken.
-    std::uint64_t received = 0; ///< Order batches of the session seen.
-    bool has_account = true;    ///< All of the account, not its phase alone.
-    std::vector<std::uint32_t> granted; ///< Grants of the receiver whose
-                                        ///< orders have come since.
-    duration next_within{}; ///< The next report leaves within this time.
-    instant sent_at{};      ///< By the agent's clock.
+    server_account account;
+    server_load load;
+    /// Number of order batches received in the session.
+    std::uint64_t received = 0;
+    bool has_account = true; ///< False: only the phase of the account is sent.
+    /// Grants of the receiver whose orders have arrived since the last report.
+    std::vector<std::uint32_t> granted;
+    duration next_within{}; ///< Maximum time until the next report.
+    instant sent_at{};      ///< Time of sending by the agent's clock.
 };
 
-/// @param out Gets the report.
-/// @param report A runner.
+/// Writes the report to a message.
 void fill(wire::RunnerState::Builder out, const server_report& report);
 
-/// @param in A runner on the wire.
-/// @return The report.
+/// @return The report in the message.
 server_report from_wire(wire::RunnerState::Reader in);
 
-/// A part and whose it is.
+/// A part of the journal and the epoch of its owner.
 struct part_epoch
 {
-    part_number part = 0;    ///< The part.
-    std::uint32_t epoch = 0; ///< Counts its owners.
+    part_number part = 0;
+    std::uint32_t epoch = 0; ///< Increases with each new owner.
 
     bool operator==(const part_epoch&) const = default;
 };
 
-/// @param out Gets the part.
-/// @param part A part and whose it is.
+/// Writes the part to a message.
 void fill(wire::PartEpoch::Builder out, const part_epoch& part);
 
-/// @param in A part on the wire.
-/// @return The part.
+/// @return The part in the message.
 part_epoch from_wire(wire::PartEpoch::Reader in);
 
-/// Orders that go to one agent together.
+/// Orders that are sent to an agent together.
 struct order_batch
 {
-    std::vector<run_order> starts;  ///< To start.
-    std::vector<run_ref> stops;     ///< To stop.
-    std::vector<run_order> sizes;   ///< What found runs take.
+    std::vector<run_order> starts; ///< Runs to start.
+    std::vector<run_ref> stops;    ///< Runs to stop.
+    /// Resources of runs that were found running.
+    std::vector<run_order> sizes;
     std::vector<run_end> confirmed; ///< Ends that are in the journal.
-    instant leased_at{}; ///< The lease of the entry's jobs in memory begins
-                         ///< then by the agent's clock; 0: not.
+    /// Start of the lease on the entry's in-memory jobs, by the agent's clock;
+    /// 0: not renewed.
+    instant leased_at{};
 
-    /// @return Whether there is nothing to say.
+    /// @return Whether the batch has no orders and confirmations.
     bool empty() const
     {
         return starts.empty() && stops.empty() && sizes.empty() &&
@@ -103,21 +92,17 @@
     }
 };
 
-/// @param out Gets the ends.
-/// @param ends Ends of runs.
+/// Writes ends of runs to a message.
 void fill(capnp::List<wire::RunEnd>::Builder out,
           const std::vector<run_end>& ends);
 
-/// @param in Ends on the wire.
-/// @return The ends.
+/// @return The ends in the message.
 std::vector<run_end> from_wire(capnp::List<wire::RunEnd>::Reader in);
 
-/// @param out Gets the batch.
-/// @param batch Orders.
+/// Writes the batch of orders to a message.
 void fill(wire::OrderBatch::Builder out, const order_batch& batch);
 
-/// @param in A batch on the wire.
-/// @return The orders.
+/// @return The batch of orders in the message.
 order_batch from_wire(wire::OrderBatch::Reader in);
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/server_account_json.cpp
+++ b/src/glenhollow/runs/server_account_json.cpp
@@ -38,11 +38,13 @@
         { return json::value_to<std::uint32_t>(capacity.at(at)); };
         const auto phase = from_name<server_phase>(string_at("phase"));
         if (!phase || string_at("instance").empty())
-            return failure{"it names no life, or no phase that is known"};
+            return failure{
+                "instance is empty, or phase is not absent, ready or draining"};
         server_account account;
         account.service = string_at("service");
         account.instance = string_at("instance");
-        if (in.contains("born_ms")) // Rows of before have none.
+        // Absent in older rows.
+        if (in.contains("born_ms"))
         {
             account.born_ms = json::value_to<std::int64_t>(in.at("born_ms"));
             account.sequence = json::value_to<std::uint64_t>(in.at("sequence"));
--- a/src/glenhollow/runs/server_account_json.hpp
+++ b/src/glenhollow/runs/server_account_json.hpp
@@ -9,12 +9,12 @@
 namespace glenhollow
 {
 
-/// @param account A backend server as it has registered itself.
-/// @return What the next process of its agent needs to ask it.
+/// @param account Account of a registered backend server.
+/// @return The account as JSON, for the next process of the same agent.
 std::string encode_server_account(const server_account& account);
 
-/// @param memo As encoded.
-/// @return The backend server, or what is wrong with the memo.
+/// @param memo Account as encoded.
+/// @return The account, or why the JSON is invalid.
 result<server_account> decode_server_account(const std::string& memo);
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/server_breaker.cpp
+++ b/src/glenhollow/runs/server_breaker.cpp
@@ -8,8 +8,9 @@
 bool server_breaker::record_end(job_id job, bool failed, instant now)
 {
     const auto before = state(now);
+    // Ends of earlier runs do not count while it is open.
     if (before == breaker_state::open)
-        return false; // Of runs from before; nothing new.
+        return false;
     if (!failed)
     {
         failures_ = 0;
@@ -25,7 +26,7 @@
         open(now);
         return true;
     }
-    // A job that fails everywhere says nothing of the runner.
+    // Failures of a single job do not count against the server.
     several_jobs_ |= failures_ > 0 && job != last_failed_job_;
     last_failed_job_ = job;
     if (++failures_ < settings_.failures_to_open || !several_jobs_)
--- a/src/glenhollow/runs/server_breaker.hpp
+++ b/src/glenhollow/runs/server_breaker.hpp
@@ -12,12 +12,12 @@
 namespace glenhollow
 {
 
-/// Whether a runner is given work.
+/// State of a circuit breaker.
 enum class breaker_state : std::uint8_t
 {
-    closed, ///< As much as it has room for.
-    open,   ///< None.
-    probing ///< One run at a time.
+    closed, ///< The server accepts work up to its capacity.
+    open,   ///< The server gets no work.
+    probing ///< The server gets one run at a time.
 };
 
 template <>
@@ -27,52 +27,56 @@
                                                            "probing"};
 };
 
-/// Limits of a breaker.
+/// Settings of a circuit breaker.
 struct server_breaker_settings
 {
-    std::uint32_t failures_to_open = 3;          ///< Bad ends until it opens.
-    std::uint32_t successes_to_close = 2;        ///< Good ends of probes.
-    duration min_open_time = milliseconds{400};  ///< Until the first probe.
-    duration max_open_time = milliseconds{1600}; ///< After bad probes.
+    /// Consecutive failures that open it.
+    std::uint32_t failures_to_open = 3;
+    /// Successful probes that close it.
+    std::uint32_t successes_to_close = 2;
+    /// Time in the open state before the first probe.
+    duration min_open_time = milliseconds{400};
+    /// Upper bound of that time after failed probes.
+    duration max_open_time = milliseconds{1600};
 };
 
-/// Judges a runner by the ends of all its runs. Its agent sees them all, so it
-/// knows of a runner that fails or stands still long before any one entry
-/// could; it says good things of itself meanwhile. One thread.
+/// Circuit breaker for one backend server, based on the ends of all its runs. A
+/// server that fails or stalls may still report itself as healthy. Not thread-
+/// safe.
 class server_breaker final
 {
 public:
-    /// @param settings Limits.
+    /// @param settings Thresholds and times.
     explicit server_breaker(const server_breaker_settings& settings)
         : settings_(settings)
     {
     }
 
-    /// A run has ended, or was stopped for want of progress.
-    /// @param job Whose.
-    /// @param bad Whether it failed or stood still.
-    /// @param now The time.
-    /// @return Whether the state has changed by it.
+    /// Records the end of a run, or that it stalled.
+    /// @param job Job of the run.
+    /// @param failed Whether it failed or stalled.
+    /// @param now Current time.
+    /// @return Whether the state has changed.
     bool record_end(job_id job, bool failed, instant now);
 
-    /// @param now The time.
-    /// @return Whether the runner is given work.
+    /// @param now Current time.
+    /// @return The current state.
     breaker_state state(instant now) const;
 
-    /// The runner has a new life.
+    /// Closes the breaker, because the server has a new incarnation.
     void reset();
 
 private:
     void open(instant now);
 
-    server_breaker_settings settings_; ///< Limits.
-    bool closed_ = true;               ///< Neither open nor probing.
-    std::uint32_t failures_ = 0;       ///< Bad ends in a row.
-    std::uint32_t successes_ = 0;      ///< Good ends of probes.
-    job_id last_failed_job_ = 0;       ///< Whose the first bad end was.
-    bool several_jobs_ = false;        ///< Bad ends are of several jobs.
-    instant probing_from_{};           ///< While not closed: the next probe.
-    duration open_time_{};             ///< The last wait.
+    server_breaker_settings settings_;
+    bool closed_ = true;          ///< Neither open nor probing.
+    std::uint32_t failures_ = 0;  ///< Consecutive failures.
+    std::uint32_t successes_ = 0; ///< Successful probes.
+    job_id last_failed_job_ = 0;  ///< Job of the last failure.
+    bool several_jobs_ = false;   ///< The failures belong to several jobs.
+    instant probing_from_{}; ///< Time when an open breaker begins to probe.
+    duration open_time_{};   ///< Length of the last open period.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/server_clock.hpp
+++ b/src/glenhollow/runs/server_clock.hpp
@@ -8,14 +8,15 @@
 namespace glenhollow
 {
 
-/// The runner's steady clock as seen from beside it. Never ahead of it: an
-/// answer's reading is as old as the answer's way, and time is counted as the
-/// runner counts it, on the same machine: without suspended time.
+/// Estimate of the backend server's steady clock. It is never ahead of that
+/// clock: a reading is as old as the answer that carried it. Both clocks belong
+/// to the same machine and do not count suspended time.
 class server_clock final
 {
 public:
-    /// @param now When an answer arrived, by clock_source::running.
-    /// @param clock_ms What it said; 0: nothing.
+    /// Records a reading of the clock.
+    /// @param now Time when the answer arrived, by clock_source::running.
+    /// @param clock_ms Server clock in the answer, ms; 0: not reported.
     void update(instant now, std::int64_t clock_ms)
     {
         if (clock_ms <= 0)
@@ -24,15 +25,15 @@
         updated_at_ = now;
     }
 
-    /// Forgets, for another life of the runner.
+    /// Forgets the clock, because a new incarnation has its own.
     void reset() { clock_ms_ = 0; }
 
-    /// @return Whether the clock has been told.
+    /// @return Whether the server has reported its clock.
     bool known() const { return clock_ms_ > 0; }
 
-    /// @param now By clock_source::running.
-    /// @param ahead A while from now.
-    /// @return That moment on the runner's clock, ms; 0 while unknown.
+    /// @param now Current time, by clock_source::running.
+    /// @param ahead Offset from now.
+    /// @return The server's clock at that time, ms; 0 while unknown.
     std::int64_t at(instant now, duration ahead) const
     {
         if (!known())
@@ -43,8 +44,8 @@
     }
 
 private:
-    std::int64_t clock_ms_ = 0; ///< As last told.
-    instant updated_at_{};      ///< When.
+    std::int64_t clock_ms_ = 0; ///< Last reported reading, ms; 0: unknown.
+    instant updated_at_{};      ///< Time when the reading arrived.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/server_incarnation.hpp
+++ b/src/glenhollow/runs/server_incarnation.hpp
@@ -7,33 +7,31 @@
 namespace glenhollow
 {
 
-/// One life of a backend server. Its id may serve several of them in turn, and
-/// nothing that is numbered or timed by one says anything of another. Starts
-/// are only ever compared for being the same: the time of day may be set back
-/// between two of them.
+/// Identifies one incarnation (process lifetime) of a backend server. Several
+/// incarnations may use the same id one after the other; the numbers and times
+/// of one do not apply to another. Start times are compared for equality only,
+/// because the system clock may be set back.
 struct server_incarnation
 {
-    std::string instance;     ///< Its id.
-    std::int64_t born_ms = 0; ///< When it started, Unix ms by its own word;
-                              ///< 0: not told.
+    std::string instance; ///< Id of the backend server.
+    /// Start time, Unix ms by the server's own clock; 0: unknown.
+    std::int64_t born_ms = 0;
 
     bool operator==(const server_incarnation&) const = default;
 
-    /// @return Whether there is none.
+    /// @return Whether no backend server is identified.
     bool empty() const { return instance.empty(); }
 };
 
-/// @param one Start of a life, ms; 0: not told.
-/// @param other The same of another one.
-/// @return Whether both are told and differ.
+/// @param one Start time, ms; 0: unknown.
+/// @param other Another start time, ms; 0: unknown.
+/// @return Whether both are known and different.
 inline bool start_times_differ(std::int64_t one, std::int64_t other)
 {
     return one != 0 && other != 0 && one != other;
 }
 
-/// @param one A life.
-/// @param other Another one.
-/// @return Whether nothing that was told keeps them apart.
+/// @return Whether both have the same id and no different start times.
 inline bool may_be_same_incarnation(const server_incarnation& one,
                                     const server_incarnation& other)
 {
--- a/src/glenhollow/runs/server_pace.cpp
+++ b/src/glenhollow/runs/server_pace.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Whatever the guesses: no backend server is that quick or slow.
+// Plausible range of a single ratio.
 constexpr double min_ratio = 0.2;
 constexpr double max_ratio = 20.0;
 
@@ -21,7 +21,7 @@
     const double weight = std::max(1.0 / ends_, settings_.min_weight);
     const double log_ratio = std::log(std::clamp(ratio, min_ratio, max_ratio));
     const double deviation = log_ratio - log_mean_;
-    // Before some are known any of them may be the one that is far off.
+    // The first ends are not clamped, since any of them may be the outlier.
     const double bounded =
         known() ? std::clamp(deviation, -settings_.max_log_deviation,
                              settings_.max_log_deviation)
--- a/src/glenhollow/runs/server_pace.hpp
+++ b/src/glenhollow/runs/server_pace.hpp
@@ -6,50 +6,51 @@
 namespace glenhollow
 {
 
-/// Limits of an estimate of pace.
+/// Settings of a pace estimate.
 struct server_pace_settings
 {
-    double min_weight = 0.05;       ///< Of one more end, once many are known.
-    double max_log_deviation = 0.7; ///< An end moves the estimate as if it were
-                                    ///< a factor of two off (its logarithm) at
-                                    ///< most: guesses are off by 40%.
-    std::uint32_t min_ends = 3;     ///< Before anything is told.
+    /// Weight of a new end once many are recorded.
+    double min_weight = 0.05;
+    /// Bound of the deviation of one end from the estimate, as a natural
+    /// logarithm; limits the effect of wrong estimates.
+    double max_log_deviation = 0.7;
+    /// Number of ends before the estimate is used.
+    std::uint32_t min_ends = 3;
 };
 
-/// How long runs take at a backend server, over what was expected of them: 1 at
-/// a server of usual speed, 2 at one half as quick. The first ends weigh as
-/// much as each other, later ones a twentieth; an end far off counts as less
-/// far off, lest one bad guess or one pause of this process be taken for the
-/// server's speed. It is a mean of logarithms: half as quick and twice as quick
-/// cancel out. One thread.
+/// Estimates the pace of a backend server: measured over expected run time, 1
+/// at normal speed and 2 at half the speed. It is a geometric mean: the first
+/// ends have equal weight, later ones a constant weight, and outliers are
+/// clamped. Not thread-safe.
 class server_pace final
 {
 public:
-    /// @param settings Limits.
+    /// @param settings Weights and bounds.
     explicit server_pace(const server_pace_settings& settings = {})
         : settings_(settings)
     {
     }
 
-    /// @param ratio Time of a run that ended well, over what was expected.
+    /// Records the end of a run.
+    /// @param ratio Measured over expected time of a run that succeeded.
     void record(double ratio);
 
-    /// Another life of the backend server, maybe of another kind.
+    /// Discards the estimate, because a new incarnation may differ in speed.
     void reset();
 
-    /// @return Whether enough ends have been seen.
+    /// @return Whether enough ends are recorded.
     bool known() const { return ends_ >= settings_.min_ends; }
 
-    /// @return The estimate; 1 before any end.
+    /// @return The estimate; 1 before the first end.
     double value() const;
 
-    /// @return Ends that were taken.
+    /// @return Number of recorded ends.
     std::uint32_t ends() const { return ends_; }
 
 private:
-    server_pace_settings settings_; ///< Limits.
-    double log_mean_ = 0;           ///< Of the estimate.
-    std::uint32_t ends_ = 0;        ///< Taken.
+    server_pace_settings settings_;
+    double log_mean_ = 0;    ///< Natural logarithm of the estimate.
+    std::uint32_t ends_ = 0; ///< Number of recorded ends.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/runs/unconfirmed_ends.cpp
+++ b/src/glenhollow/runs/unconfirmed_ends.cpp
@@ -9,7 +9,7 @@
         (end.number <= confirmed_ || listed_.contains(end.number)))
         return false;
     const auto known = ends_.find(end.run);
-    // Concluded before, now listed by the runner: the runner knows.
+    // The backend server's own listing replaces an end concluded here.
     const bool concluded = known != ends_.end() &&
                            known->second.end.number == 0 && end.number != 0;
     if (known != ends_.end() && !concluded)
@@ -29,7 +29,7 @@
     const auto known = ends_.find(end.run);
     if (known == ends_.end())
         return;
-    // A confirmation of a concluded end says nothing of the listed one.
+    // The confirmation of a concluded end does not cover the listed one.
     if (known->second.end.number != end.number)
         return;
     ends_.erase(known);
--- a/src/glenhollow/runs/unconfirmed_ends.hpp
+++ b/src/glenhollow/runs/unconfirmed_ends.hpp
@@ -12,61 +12,61 @@
 namespace glenhollow
 {
 
-/// An end that its part's owner has not confirmed.
+/// The end of a run that the owner of its part has not confirmed.
 struct unconfirmed_end
 {
-    run_end end;             ///< As the runner listed it, or as concluded.
-    std::uint32_t lease = 0; ///< Under which it ran.
-    instant recorded_at{};   ///< When it was noted.
-    bool released =
-        false; ///< The hold lapsed after it: no owner is waited for.
-    bool reported = false; ///< Sent to the present owner.
+    run_end end;             ///< Number 0: concluded by the agent.
+    std::uint32_t lease = 0; ///< Lease under which it ran.
+    instant recorded_at{};   ///< Time when it was recorded.
+    bool released = false; ///< No longer delays the confirmation of later ends.
+    bool reported = false; ///< Sent to the current owner.
 };
 
-/// The ends at one agent that are not in the journal yet, and up to which of
-/// the runner's numbers the runner may forget: only as far as every listed end
-/// is confirmed or excused.
+/// Ends of runs at one agent that are not in the journal yet. The backend
+/// server numbers its ends; it may forget those up to `confirmed`, which grows
+/// only as far as every listed end is confirmed or released.
 class unconfirmed_ends final
 {
 public:
-    /// @param end A run's end.
-    /// @param lease Under which it ran.
-    /// @param now The time.
-    /// @return Whether it is news.
+    /// Records an end.
+    /// @param end End of a run.
+    /// @param lease Lease under which it ran.
+    /// @param now Current time.
+    /// @return Whether the end is new.
     bool add(const run_end& end, std::uint32_t lease, instant now);
 
-    /// @param end An end that is in the journal.
+    /// Removes an end that is in the journal.
     void confirm(const run_end& end);
 
-    /// @param run Its end does not hold back the runner any more.
+    /// Lets the backend server forget the end of a run before it is confirmed.
     void release(const run_ref& run);
 
-    /// The hold has lapsed: no end listed so far holds back the runner.
+    /// Releases all ends, because the hold has lapsed.
     void release_all();
 
-    /// Another life of the runner: its numbers begin anew.
+    /// Forgets all end numbers, because a new incarnation starts its own
+    /// numbering.
     void reset_numbers();
 
-    /// @return The runner may forget ends up to this number.
+    /// @return The number up to which the backend server may forget ends.
     std::uint64_t confirmed() const { return confirmed_; }
 
-    /// @return Whether listed ends wait for an owner.
+    /// @return Whether a listed end is neither confirmed nor released.
     bool has_unsettled() const { return unsettled_ > 0; }
 
-    /// @return Whether no end is kept.
+    /// @return Whether no end is unconfirmed.
     bool empty() const { return ends_.empty(); }
 
-    /// @param run A run.
-    /// @return Whether its end is kept.
+    /// @return Whether the end of the run is unconfirmed.
     bool contains(const run_ref& run) const { return ends_.contains(run); }
 
-    /// @return All kept ends.
+    /// @return All unconfirmed ends by run.
     std::unordered_map<run_ref, unconfirmed_end, run_ref_hash>& ends()
     {
         return ends_;
     }
 
-    /// @return All kept ends.
+    /// @return All unconfirmed ends by run.
     const std::unordered_map<run_ref, unconfirmed_end, run_ref_hash>&
     ends() const
     {
@@ -76,13 +76,12 @@
 private:
     void settle(std::uint64_t number);
 
-    std::unordered_map<run_ref, unconfirmed_end, run_ref_hash>
-        ends_; ///< By run.
-    /// Numbers above `confirmed_` and whether they are settled: the runner
-    /// lists them again until all before them are.
+    std::unordered_map<run_ref, unconfirmed_end, run_ref_hash> ends_;
+    /// Numbers above `confirmed_`, and whether their ends are settled. The
+    /// backend server keeps listing an end until all earlier ones are settled.
     std::map<std::uint64_t, bool> listed_;
-    std::uint64_t confirmed_ = 0; ///< All up to here are settled.
-    std::size_t unsettled_ = 0;   ///< Of the listed.
+    std::uint64_t confirmed_ = 0; ///< All ends up to this number are settled.
+    std::size_t unsettled_ = 0; ///< Number of listed ends that are not settled.
 };
 
 } // namespace glenhollow
--- a/tests/unit/runs/heartbeat_order_tests.cpp
+++ b/tests/unit/runs/heartbeat_order_tests.cpp
@@ -1,4 +1,3 @@
-// Which heartbeats were overtaken on their way.
 #include "glenhollow/runs/heartbeat_order.hpp"
 
 #include <catch2/catch.hpp>
@@ -13,19 +12,19 @@
 
 } // namespace
 
-TEST_CASE("a heartbeat is late after a later one of its life, and only then")
+TEST_CASE("a heartbeat is out of order only after a later one of its "
+          "incarnation")
 {
     heartbeat_order order;
     CHECK_FALSE(order.newer_sequence(first, 1));
     order.record(first, 7);
-    CHECK_FALSE(
-        order.newer_sequence(first, 7)); // Sent again without an answer.
+    CHECK_FALSE(order.newer_sequence(first, 7)); // A retransmission.
     CHECK_FALSE(order.newer_sequence(first, 8));
     REQUIRE(order.newer_sequence(first, 6));
     CHECK(*order.newer_sequence(first, 6) == 7);
 }
 
-TEST_CASE("a life under the id of the last one counts anew")
+TEST_CASE("a new incarnation with the same id has its own sequence")
 {
     heartbeat_order order;
     order.record(first, 40);
@@ -35,17 +34,17 @@
     CHECK(order.newer_sequence(first, 39));
 }
 
-TEST_CASE("a heartbeat of an earlier life makes no room for late ones")
+TEST_CASE("a heartbeat of another incarnation does not reset the order")
 {
     heartbeat_order order;
     order.record(second, 5);
     order.record(first, 41);
     CHECK(order.newer_sequence(second, 4));
-    order.record(second, 3); // Whatever is noted, the highest stays.
+    order.record(second, 3); // The highest number stays.
     CHECK(order.newer_sequence(second, 4));
 }
 
-TEST_CASE("no more lives are remembered than can have heartbeats on their way")
+TEST_CASE("only the most recent incarnations are remembered")
 {
     heartbeat_order order;
     order.record(first, 40);
--- a/tests/unit/runs/inherited_hold_tests.cpp
+++ b/tests/unit/runs/inherited_hold_tests.cpp
@@ -1,13 +1,6 @@
-// Seen in simulated schedules (durable_schedule_tests, kept jobs): a task was
-// started again after an end `done` that was taken note of. An agent's process
-// began again while its server ran a kept task under the hold of the process
-// before. The new process knew no lease for the part and had renewed nothing
-// itself, so it took the hold for over at once. The task ended `done` within
-// that hold; its end was passed over, as of a run whose hold has lapsed, and
-// the server forgot it. Its owner, which had no link to the agent for 3.4 s,
-// had the task begin elsewhere.
-//
-// Proof: seeds 491, 3047 and 7604 of kept jobs failed so, and hold now.
+// A restarted agent must assume that the previous process renewed the hold.
+// Otherwise it releases an end `done` that is still unconfirmed, and the task
+// runs again.
 #include "glenhollow/runs/run_manager.hpp"
 #include "unit/support/fake_runner_port.hpp"
 
@@ -15,13 +8,13 @@
 
 using namespace glenhollow;
 
-TEST_CASE("a new process of an agent counts on the hold of the one before",
+TEST_CASE("a restarted agent waits for the hold of its previous process",
           "[inherited_hold]")
 {
     manual_loop loop;
     fake_backend_server server{loop};
     const run_ref durable_run{{1, 0, 0, 0}, 1};
-    // What the process before did last: it renewed the hold.
+    // The previous process renewed the hold just before it ended.
     server.running.push_back(durable_run);
     server.held_until = server.now_ms() + 1000;
     run_manager manager{loop.clock, server, loop.delay(), 1000, {}};
@@ -47,7 +40,7 @@
     CHECK(server.confirmed == 0);
     run(milliseconds{200});
     CHECK(server.confirmed == 0);
-    // No owner comes: once the hold has surely lapsed the end holds nothing up.
+    // No owner confirms the end; it is released once the hold has lapsed.
     run(milliseconds{600});
     CHECK(server.confirmed == 1);
 }
--- a/tests/unit/runs/lease_bounds_hold_tests.cpp
+++ b/tests/unit/runs/lease_bounds_hold_tests.cpp
@@ -1,17 +1,6 @@
-// Tasks of one job ran at two backend servers at once. An entry ended; its
-// agents go on with its runs for the lease, 0.8 s, and a backend server for the
-// hold, 1 s past the last look. An agent that stood still from just before the
-// end of the lease stopped nothing: the runs went on for up to 1.8 s. Their
-// caller had lost its connection with the entry, and sent the job again 1.3 s
-// later to another one, which had it run anew.
-//
-// Proof: real programs, an entry killed and two of four agents paused 0.7 s
-// later for a second: a run from 963.890 to 966.094 s at one server, ended
-// `done`, taken note of and never stopped; the same task from 965.928 s at
-// another.
-//
-// Cause: two times that follow each other were each shorter than a caller's
-// wait, and nobody kept their sum. Now the hold ends with the lease.
+// Runs of an ended entry must end before its caller resends the job to another
+// entry, even if their agent is suspended. Otherwise a task runs at two servers
+// at the same time.
 #include "glenhollow/runs/run_manager.hpp"
 #include "unit/support/fake_runner_port.hpp"
 
@@ -41,8 +30,8 @@
         run(milliseconds{20}, true);
     }
 
-    /// Lets time pass while the agent runs.
-    /// @param both Whether the first entry answers as well.
+    /// Advances the time.
+    /// @param both Whether both entries renew their leases.
     void run(duration length, bool both)
     {
         constexpr duration step = milliseconds{10};
@@ -61,7 +50,7 @@
         run_order order;
         order.run = {{job, 0, 0, 0}, first_memory_run + 1};
         order.needs = {1000, 10, 0};
-        order.estimate_ms = 4000; // Progress is not judged here.
+        order.estimate_ms = 4000; // Long enough not to stall.
         manager.order(order, lease);
         return order.run;
     }
@@ -72,7 +61,7 @@
                server.running.end();
     }
 
-    /// @return For how long the server goes on if nobody calls it any more.
+    /// @return Remaining time of the hold if it is not renewed.
     duration held_for() const
     {
         return milliseconds{
@@ -86,8 +75,8 @@
 
 } // namespace
 
-TEST_CASE("runs of an ended entry never outlast its caller's wait, whenever "
-          "their agent stands still",
+TEST_CASE("runs of an ended entry end before its caller resends, whenever the "
+          "agent is suspended",
           "[lease_bounds_hold]")
 {
     two_entries_fixture fixture;
@@ -95,7 +84,7 @@
     fixture.run(milliseconds{100}, true);
     REQUIRE(fixture.runs(run));
     const auto ended_at = fixture.loop.clock.now();
-    // Wherever the agent stands still from now on, the server lets go in time.
+    // The hold ends in time, wherever the agent is suspended.
     while (fixture.runs(run))
     {
         const auto passed = fixture.loop.clock.now() - ended_at;
@@ -106,7 +95,7 @@
     }
 }
 
-TEST_CASE("a start of one entry does not keep runs of an ended one alive",
+TEST_CASE("a start for one entry does not extend the runs of an ended one",
           "[lease_bounds_hold]")
 {
     two_entries_fixture fixture;
@@ -122,8 +111,8 @@
     }
 }
 
-TEST_CASE("an order that waited for room does not begin under a hold that "
-          "outlasts its lease",
+TEST_CASE("an order that waited for capacity does not start if the hold ends "
+          "too long after its lease",
           "[lease_bounds_hold]")
 {
     two_entries_fixture fixture;
@@ -131,11 +120,11 @@
     for (job_id job = 2; job < 10; ++job)
         others.push_back(fixture.order(job, live_entry));
     fixture.run(milliseconds{50}, true);
-    const auto run = fixture.order(1, ended_entry); // No room.
+    const auto run = fixture.order(1, ended_entry); // No capacity.
     fixture.run(milliseconds{50}, true);
     REQUIRE_FALSE(fixture.runs(run));
     const auto ended_at = fixture.loop.clock.now();
-    // Room is free at some time within the lease.
+    // Capacity is freed within the lease.
     fixture.run(milliseconds{500}, false);
     fixture.server.finish(others.front(), run_outcome::done);
     while (fixture.loop.clock.now() - ended_at < caller_resend_delay)
@@ -149,7 +138,7 @@
     }
 }
 
-TEST_CASE("the runs of other entries go on when one has ended",
+TEST_CASE("runs of other entries continue when an entry ends",
           "[lease_bounds_hold]")
 {
     two_entries_fixture fixture;
@@ -164,7 +153,7 @@
     CHECK_FALSE(fixture.runs(ended_run));
 }
 
-TEST_CASE("a server that can't be told to stop lets go in time all the same",
+TEST_CASE("runs end in time even if the server receives no stop",
           "[lease_bounds_hold]")
 {
     two_entries_fixture fixture;
--- a/tests/unit/runs/leaving_server_tests.cpp
+++ b/tests/unit/runs/leaving_server_tests.cpp
@@ -9,7 +9,7 @@
 
 constexpr duration notice = seconds{2};
 
-/// A run that has just begun, of whose end some use is left for 10 s.
+/// @return A run that has just started, with a deadline in 10 s.
 run_on_leaving_server run(std::uint32_t expected_ms, job_id job = 1,
                           std::uint32_t index = 0)
 {
@@ -28,25 +28,25 @@
 
 } // namespace
 
-TEST_CASE("a run that may end before its server leaves is left to run")
+TEST_CASE("a run that may finish before the shutdown is not moved")
 {
-    const auto found = plan({run(3000)}); // Guesses are off by 40%.
+    const auto found = plan({run(3000)}); // Estimates are off by up to 40%.
     CHECK(found.moved.empty());
     CHECK(found.unfinishable.empty());
 }
 
-TEST_CASE("a run that surely can't end before its server leaves is moved")
+TEST_CASE("a run that cannot finish before the shutdown is moved")
 {
     CHECK(plan({run(3600)}).moved.size() == 1);
 }
 
-TEST_CASE("at a slow server the same run can't end in the same time")
+TEST_CASE("the estimate accounts for the pace of the server")
 {
     CHECK(plan({run(2400)}).moved.empty());
     CHECK(plan({run(2400)}, 1.67).moved.size() == 1);
 }
 
-TEST_CASE("progress says more than the guess")
+TEST_CASE("progress takes precedence over the estimate")
 {
     auto quick = run(9000);
     quick.elapsed = quick.last_progress = milliseconds{500};
@@ -58,30 +58,31 @@
     CHECK(plan({slow}).moved.size() == 1);
 }
 
-TEST_CASE("a run that would help nobody when run again is left to run")
+TEST_CASE("a run that cannot finish elsewhere in time is not moved")
 {
     auto late = run(3600);
-    late.useful_for = milliseconds{3700}; // Less the stop and the start.
+    late.useful_for =
+        milliseconds{3700}; // Too short for the stop and the start.
     const auto found = plan({late});
     CHECK(found.moved.empty());
     CHECK(found.unfinishable.size() == 1);
 }
 
-TEST_CASE("a job that is kept is always worth being run again")
+TEST_CASE("a run without a deadline is moved")
 {
     auto durable_run = run(3600);
     durable_run.useful_for.reset();
     CHECK(plan({durable_run}).moved.size() == 1);
 }
 
-TEST_CASE("of a run nothing is known of nothing is expected")
+TEST_CASE("a run without an estimate is not moved")
 {
     const auto found = plan({run(0)}, 1.0, duration{0});
     CHECK(found.moved.empty());
     CHECK(found.unfinishable.empty());
 }
 
-TEST_CASE("tasks of a job go together: none is moved where one is lost")
+TEST_CASE("no task of a job is moved if one of them cannot finish in time")
 {
     auto unfinishable = run(3600, 1, 0);
     unfinishable.useful_for = seconds{1};
@@ -92,9 +93,9 @@
     CHECK(found.unfinishable.size() == 2);
 }
 
-TEST_CASE("when the time has run out all that can be run again is moved")
+TEST_CASE("runs are moved if the shutdown time has passed")
 {
-    // The agent was paused and reads the notice late.
+    // A suspended agent receives the announcement late.
     const auto found = plan({run(100, 1), run(200, 2)}, 1.0, -seconds{1});
     CHECK(found.moved.size() == 2);
 }
--- a/tests/unit/runs/report_pacing_tests.cpp
+++ b/tests/unit/runs/report_pacing_tests.cpp
@@ -13,7 +13,7 @@
 
 constexpr instant begin = seconds{10};
 
-/// @return Reports of room in a second in which it changes all the time.
+/// @return Number of load reports in a second of continuous changes.
 int reports_a_second(std::size_t sessions)
 {
     const report_pacing pacing({});
@@ -43,18 +43,15 @@
 
 } // namespace
 
-TEST_CASE("reports of room cost an agent alike, however many entries")
+TEST_CASE("the rate of load reports does not grow with the number of entries")
 {
-    // Found on the grown deployments: twelve entries, each told each change.
     CHECK(reports_a_second(12) <= reports_a_second(1));
     CHECK(reports_a_second(48) <= reports_a_second(1));
     CHECK(reports_a_second(12) >= 200);
 }
 
-TEST_CASE("reports to entries without runs here do not grow with their number")
+TEST_CASE("the rate of idle reports does not grow with the number of entries")
 {
-    // Found at 55 entries and 240 agents: 66,000 reports a second without a
-    // job, most of the processor time of all processes.
     const report_pacing pacing({});
     for (const std::size_t entries : {3U, 12U, 55U})
     {
@@ -62,14 +59,14 @@
         const auto most = entries > 12 ? 25.1 : 12.6;
         CHECK(entries / std::chrono::duration<double>(gap).count() <= most);
     }
-    // Found at 55 entries: heard of each 4 s, agents that had gone drew orders.
+    // Agents that have gone must not receive orders for long.
     CHECK(pacing.heartbeat({}, 55) <= milliseconds{2200});
     CHECK(pacing.heartbeat({}, 2) == milliseconds{200});
     CHECK(pacing.heartbeat({}, 3) == milliseconds{240});
     CHECK(pacing.heartbeat({}, 1000) == seconds{4});
 }
 
-TEST_CASE("an entry with runs here, or that places, hears five times a second")
+TEST_CASE("busy entries and placers get five reports a second")
 {
     const report_pacing pacing({});
     report_status busy;
@@ -84,20 +81,20 @@
         pacing.is_due({false, false, begin}, 55, begin + milliseconds{200}));
 }
 
-TEST_CASE("an agent counts as silent only once its next report is due")
+TEST_CASE("an agent counts as silent only after its next report was due")
 {
     CHECK(silent_since(begin, milliseconds{200}) == begin);
     CHECK(silent_since(begin, milliseconds{2200}) == begin + seconds{2});
-    CHECK(silent_since(begin, {}) == begin); // One that announces nothing.
+    CHECK(silent_since(begin, {}) == begin); // No interval announced.
 }
 
-TEST_CASE("an agent's clock is never thought to be ahead of what it shows")
+TEST_CASE("the estimate of an agent's clock is never ahead of it")
 {
     agent_clock clock;
     CHECK_FALSE(clock.at(begin).has_value());
     clock.on_report(seconds{500}, begin);
     CHECK(clock.at(begin) == instant{seconds{500}});
-    // Two seconds later by this entry's clock, which may be the quicker one.
+    // Two seconds later by this entry's clock, which may run faster.
     const auto later = clock.at(begin + seconds{2});
     REQUIRE(later.has_value());
     CHECK(*later <= seconds{500} + milliseconds{1960});
@@ -107,27 +104,27 @@
     CHECK_FALSE(clock.at(begin).has_value());
 }
 
-TEST_CASE("exchanges between entries do not grow with their number")
+TEST_CASE("the rate of exchanges does not grow with the number of entries")
 {
     const exchange_pacing pacing({});
     CHECK(pacing.interval(3) == milliseconds{250});
     CHECK(pacing.interval(54) == milliseconds{540});
     CHECK(pacing.silence(3) == milliseconds{1000});
     CHECK(pacing.silence(54) >= 3 * pacing.interval(54));
-    // One side begins them; the other one only if it does not.
+    // One side starts the exchange, the other only if it does not.
     CHECK(pacing.is_due(true, begin, 3, begin + milliseconds{250}));
     CHECK_FALSE(pacing.is_due(false, begin, 3, begin + milliseconds{250}));
     CHECK(pacing.is_due(false, begin, 3, begin + milliseconds{375}));
 }
 
-TEST_CASE("an entry asks for as many reports as it can bear, not per agent")
+TEST_CASE("an entry bounds the total rate of its reports")
 {
     report_budget budget({});
     CHECK(budget.gap(11) < milliseconds{10});
     CHECK(budget.gap(6600) == seconds{1});
     const auto quick = budget.gap(70);
     for (int i = 0; i < 20; ++i)
-        budget.record_tick(milliseconds{30}); // A small machine, or a busy one.
+        budget.record_tick(milliseconds{30}); // A slow or busy VM.
     CHECK(budget.gap(70) > 4 * quick);
     CHECK(budget.gap(70) < milliseconds{500});
     for (int i = 0; i < 400; ++i)
@@ -135,7 +132,7 @@
     CHECK(budget.gap(70) == quick);
 }
 
-TEST_CASE("an agent heeds the gap that an entry asks for")
+TEST_CASE("an agent respects the requested report interval")
 {
     const report_pacing pacing({});
     const report_status status{false, true, begin, milliseconds{100}};
@@ -143,7 +140,8 @@
     CHECK(pacing.is_due(status, 3, begin + milliseconds{100}));
 }
 
-TEST_CASE("ends are told at once, and something within each heartbeat")
+TEST_CASE("ends are reported at once, and something in each heartbeat "
+          "interval")
 {
     const report_pacing pacing({});
     CHECK(pacing.is_due({true, false, begin}, 12, begin));
@@ -154,7 +152,7 @@
     CHECK(pacing.is_due({false, false, begin}, 12, begin + milliseconds{960}));
 }
 
-TEST_CASE("a report without the account keeps what was told before")
+TEST_CASE("a report without an account keeps the previous account")
 {
     agent_view view("agent-1");
     view.attached(whole_report());
--- a/tests/unit/runs/returned_server_tests.cpp
+++ b/tests/unit/runs/returned_server_tests.cpp
@@ -1,13 +1,7 @@
-// Kept tasks ran a second time after they were done, all of one backend server,
-// for up to 15 s. Order of events: the server says that it leaves; its agent
-// stands still; the server signs off, ends, and lives again under its id; the
-// agent wakes and reads, in one moment, the last list of the ended life, the
-// sign-off and the registration of the new one. Cause: the next look left for
-// the new life with the mark of the ended one (`last_seen`), so that the new
-// life forgot as many ends as the ended one had listed, unseen: its runs
-// vanished, and their tasks ran again. The id is no guard, it is the same. The
-// evidence: `mark_misread` 137 at the agent's waking, then `run_vanished` only
-// while the new life's numbers were below 137.
+// A backend server restarts under the same id while its agent is suspended. An
+// acknowledgement meant for the previous incarnation must not reach the new
+// one: it would forget ends that were never seen, and their tasks would run
+// again.
 #include "glenhollow/runs/run_manager.hpp"
 #include "unit/support/fake_runner_port.hpp"
 
@@ -26,7 +20,7 @@
 constexpr std::int64_t first_born = 1'750'000'000'000;
 constexpr std::int64_t second_born = first_born + 60'000;
 
-/// What an agent calls: answers wait unread while it stands still.
+/// Delays the answers of a backend server while the agent is suspended.
 class delayed_answers final : public backend_server_client
 {
 public:
@@ -53,7 +47,7 @@
             one();
     }
 
-    bool paused = false; ///< Nobody reads.
+    bool paused = false; ///< Answers are deferred.
 
 private:
     template <class Answer>
@@ -68,12 +62,11 @@
         };
     }
 
-    backend_server_client& server_;             ///< Answers.
-    std::vector<std::function<void()>> unread_; ///< In the order they came.
+    backend_server_client& server_;             ///< Receives the calls.
+    std::vector<std::function<void()>> unread_; ///< Answers by arrival.
 };
 
-/// An agent that stands still at times, and its backend server, whose time
-/// goes on.
+/// An agent that can be suspended, and a backend server with its own clock.
 struct restart_fixture
 {
     restart_fixture()
@@ -115,7 +108,7 @@
         }
     }
 
-    /// The agent's process gets no processor; none of its timers runs.
+    /// Suspends the agent process; none of its timers runs.
     void pause(duration length)
     {
         port.paused = true;
@@ -137,7 +130,7 @@
         manager.order(order, entry_lease);
     }
 
-    /// The first life has done three tasks, and all of that is confirmed.
+    /// Completes and confirms three tasks in the first incarnation.
     void complete_first_incarnation()
     {
         register_server(first_born, 40, server_phase::ready);
@@ -154,7 +147,7 @@
         received.clear();
     }
 
-    /// The server answers the look that is out, ends, and lives again.
+    /// The server answers the pending poll, ends and restarts.
     void restart_unseen()
     {
         pause(milliseconds{150});
@@ -162,7 +155,8 @@
         pause(milliseconds{500});
     }
 
-    /// The next look leaves before anything else is read.
+    /// Reads the deferred answers; the next poll is sent before anything else
+    /// is read.
     void reads_answers()
     {
         port.read();
@@ -174,7 +168,7 @@
         register_server(second_born, 1, server_phase::ready);
     }
 
-    /// The new life takes work, and the ends of its runs are told.
+    /// Checks that the new incarnation gets work and its ends are reported.
     void check_new_incarnation()
     {
         run(milliseconds{300});
@@ -199,12 +193,14 @@
     fake_backend_server server{server_loop};
     delayed_answers port{server};
     run_manager manager{agent_loop.clock, port, agent_loop.delay(), 1000, {}};
-    std::vector<run_end> received; ///< To the entry, which confirmed them.
+    std::vector<run_end>
+        received; ///< Ends that the entry received and confirmed.
 };
 
 } // namespace
 
-TEST_CASE("a server that left and returned unseen forgets no end unseen",
+TEST_CASE("a server that restarts unseen after announcing its shutdown loses "
+          "no end",
           "[returned_server]")
 {
     restart_fixture fixture;
@@ -233,8 +229,7 @@
     fixture.check_new_incarnation();
 }
 
-TEST_CASE("a server that ended and returned unseen forgets no end unseen",
-          "[returned_server]")
+TEST_CASE("a server that restarts unseen loses no end", "[returned_server]")
 {
     restart_fixture fixture;
     fixture.complete_first_incarnation();
@@ -253,7 +248,7 @@
     fixture.check_new_incarnation();
 }
 
-TEST_CASE("an end that is listed while its agent stands still is told once",
+TEST_CASE("an end listed while the agent is suspended is reported once",
           "[returned_server]")
 {
     restart_fixture fixture;
--- a/tests/unit/runs/run_manager_cancel_tests.cpp
+++ b/tests/unit/runs/run_manager_cancel_tests.cpp
@@ -1,4 +1,4 @@
-// Runs of cancelled jobs whose starts a backend server carries out late.
+// A backend server may carry out starts late, after their job was cancelled.
 #include "glenhollow/runs/run_manager.hpp"
 #include "unit/support/fake_runner_port.hpp"
 
@@ -12,7 +12,7 @@
 constexpr lease_id entry_lease = memory_lease(0);
 constexpr run_ref wanted{{42, 0, 0, 0}, first_memory_run + 1};
 
-/// An agent's manager, a backend server and an entry that may go.
+/// A run manager, a backend server and an entry that may end.
 struct cancel_fixture
 {
     cancel_fixture()
@@ -53,8 +53,8 @@
         manager->order(order, entry_lease);
     }
 
-    /// The backend server carries out what it left unanswered.
-    /// @return Whether it runs now.
+    /// Carries out the unanswered starts.
+    /// @return Whether a run is running.
     bool carry_out_late()
     {
         for (const auto& [run, context] : std::exchange(server.late_starts, {}))
@@ -73,19 +73,19 @@
 
 } // namespace
 
-TEST_CASE("a start without an answer whose job is cancelled never begins")
+TEST_CASE("an unanswered start of a cancelled job is prevented")
 {
     cancel_fixture fixture;
     fixture.server.drop_orders = 1;
     fixture.order();
-    fixture.manager->stop(wanted); // Before the start counts as lost.
+    fixture.manager->stop(wanted); // The start does not count as lost yet.
     fixture.run(milliseconds{100});
     CHECK_FALSE(fixture.carry_out_late());
     fixture.run(milliseconds{400});
     CHECK(fixture.manager->take_ends(entry_lease).size() == 1);
 }
 
-TEST_CASE("nor where its stop gets no answer either")
+TEST_CASE("an unanswered start is prevented even if its stops are lost")
 {
     cancel_fixture fixture;
     fixture.server.drop_orders = 3; // The start and two stops.
@@ -96,7 +96,7 @@
     CHECK(fixture.server.barred.size() >= 1);
 }
 
-TEST_CASE("a start carried out just before the stop is stopped")
+TEST_CASE("a late start carried out before the stop is stopped")
 {
     cancel_fixture fixture;
     fixture.server.drop_orders = 2; // The start and the stop.
@@ -108,10 +108,9 @@
     CHECK_FALSE(fixture.runs());
 }
 
-TEST_CASE("a late start that a new process of the agent finds is stopped")
+TEST_CASE("a late start found by a restarted agent is stopped")
 {
-    // The process that sent it is gone, and so is what it knew; the job was
-    // cancelled meanwhile, so that no entry claims the run.
+    // The job was cancelled meanwhile, so no entry claims the run.
     cancel_fixture fixture;
     fixture.server.drop_orders = 1;
     fixture.order();
@@ -123,7 +122,7 @@
     CHECK_FALSE(fixture.runs());
 }
 
-TEST_CASE("a late start for an entry that was removed is stopped")
+TEST_CASE("a late start for a removed entry is stopped")
 {
     cancel_fixture fixture;
     fixture.server.drop_orders = 2; // The start and its stop.
@@ -131,15 +130,14 @@
     fixture.run(milliseconds{20});
     fixture.entry_answers = false;
     REQUIRE(fixture.carry_out_late());
-    // Its lease, the time to stop, and the hold where stops fail.
+    // The lease, the time to stop, and the hold if stops fail.
     fixture.run(milliseconds{2000});
     CHECK_FALSE(fixture.runs());
     CHECK_FALSE(fixture.carry_out_late());
 }
 
-TEST_CASE("a run that has ended here and is shown all the same is stopped")
+TEST_CASE("a run that is listed after its end is stopped")
 {
-    // Whatever let it begin: nobody knows it any more.
     cancel_fixture fixture;
     fixture.server.drop_orders = 1;
     fixture.order();
--- a/tests/unit/runs/run_manager_incarnations_tests.cpp
+++ b/tests/unit/runs/run_manager_incarnations_tests.cpp
@@ -1,4 +1,4 @@
-// Lives of a backend server, and halls that get no new work.
+// Incarnations of a backend server, and evacuated halls.
 #include "glenhollow/runs/run_manager.hpp"
 #include "unit/support/fake_runner_port.hpp"
 
@@ -11,7 +11,7 @@
 
 constexpr lease_id entry_lease = memory_lease(0);
 
-/// An agent's manager with a backend server that knows which life it is.
+/// A run manager with a backend server that checks the expected id.
 struct incarnation_fixture
 {
     incarnation_fixture()
@@ -70,7 +70,7 @@
         manager->order(order, entry_lease);
     }
 
-    /// Life 1 has registered, answers, and runs one task.
+    /// Registers the first incarnation and starts one run.
     void run_one()
     {
         register_server("life-1");
@@ -89,11 +89,11 @@
 
 } // namespace
 
-TEST_CASE("a heartbeat of an ended life that comes late ends nothing")
+TEST_CASE("a delayed heartbeat of an ended incarnation ends no runs")
 {
     incarnation_fixture fixture;
     fixture.run_one();
-    fixture.register_server("life-0"); // Held back by a cut.
+    fixture.register_server("life-0"); // Delayed by the network.
     fixture.run(milliseconds{200});
     CHECK(fixture.manager->account().instance == "life-1");
     CHECK(fixture.manager->account().phase == server_phase::ready);
@@ -105,7 +105,8 @@
     CHECK(fixture.server.running.size() == 2);
 }
 
-TEST_CASE("a new life is taken as soon as it refuses a look for the last one")
+TEST_CASE("a new incarnation is accepted once it refuses a poll for the last "
+          "one")
 {
     incarnation_fixture fixture;
     fixture.run_one();
@@ -122,7 +123,7 @@
     CHECK(fixture.server.running.size() == 1);
 }
 
-TEST_CASE("a new life is taken though no look is answered")
+TEST_CASE("a new incarnation is accepted if the server stays silent")
 {
     incarnation_fixture fixture;
     fixture.register_server("life-1");
@@ -130,16 +131,18 @@
     fixture.server.silent = true;
     fixture.register_server("life-2");
     fixture.run(milliseconds{500});
-    CHECK(fixture.manager->account().instance == "life-1"); // It may live.
+    CHECK(fixture.manager->account().instance ==
+          "life-1"); // It may be running.
     fixture.run(milliseconds{1500});
     CHECK(fixture.manager->account().instance == "life-2");
 }
 
-TEST_CASE("a restarted agent that hears an ended life first ends nothing")
+TEST_CASE("a restarted agent ends no runs on a heartbeat of an ended "
+          "incarnation")
 {
     incarnation_fixture fixture;
     fixture.run_one();
-    fixture.make(); // The agent knows its runs from looks alone.
+    fixture.make(); // The agent learns its runs from polls alone.
     fixture.run(milliseconds{20});
     fixture.register_server("life-0");
     fixture.run(milliseconds{50});
@@ -154,7 +157,7 @@
     CHECK(fixture.server.running.size() == 1);
 }
 
-TEST_CASE("in an evacuated hall nothing starts, and what runs goes on")
+TEST_CASE("in an evacuated hall nothing starts and runs continue")
 {
     incarnation_fixture fixture;
     fixture.run_one();
@@ -166,7 +169,7 @@
     const auto received = fixture.ends();
     REQUIRE(received.size() == 1);
     CHECK(received[0].outcome == run_outcome::not_begun);
-    fixture.register_server("life-1"); // Its heartbeats say that it is ready.
+    fixture.register_server("life-1"); // The heartbeat reports it as ready.
     fixture.run(milliseconds{20});
     CHECK(fixture.manager->account().phase == server_phase::draining);
     fixture.manager->evacuate(false);
@@ -175,7 +178,8 @@
     CHECK(fixture.server.running.size() == 2);
 }
 
-TEST_CASE("a backend server that leaves an evacuated hall stays draining")
+TEST_CASE("a draining agent stays draining when its hall is no longer "
+          "evacuated")
 {
     incarnation_fixture fixture;
     fixture.register_server("life-1");
@@ -186,9 +190,9 @@
     CHECK(fixture.manager->account().phase == server_phase::draining);
 }
 
-TEST_CASE("a restarted agent asks the life that it remembers, and takes work")
+TEST_CASE("a restarted agent polls the restored incarnation and accepts work")
 {
-    // Heartbeats come each 1.5 s: until then nobody could start anything.
+    // Waiting for the next heartbeat would take up to 1.5 s.
     incarnation_fixture fixture;
     fixture.make();
     fixture.run(milliseconds{20});
@@ -200,14 +204,14 @@
     fixture.order(0);
     fixture.run(milliseconds{20});
     CHECK(fixture.server.running.size() == 1);
-    fixture.register_server("life-1"); // Its heartbeat changes nothing.
+    fixture.register_server("life-1"); // The heartbeat changes nothing.
     fixture.run(milliseconds{20});
     CHECK(fixture.manager->account().phase == server_phase::ready);
     CHECK(fixture.server.running.size() == 1);
     CHECK(fixture.manager->stats().restored_ended == 0);
 }
 
-TEST_CASE("a life that is remembered and has ended gets no work")
+TEST_CASE("a restored incarnation that has ended gets no work")
 {
     incarnation_fixture fixture;
     fixture.server.incarnation = "life-2";
@@ -222,7 +226,7 @@
     CHECK(fixture.manager->account().phase == server_phase::ready);
 }
 
-TEST_CASE("a life that is remembered as draining gets no work")
+TEST_CASE("a restored incarnation that was draining gets no work")
 {
     incarnation_fixture fixture;
     fixture.make();
@@ -231,7 +235,7 @@
     CHECK(fixture.manager->account().phase == server_phase::draining);
 }
 
-TEST_CASE("a registration counts more than what is remembered")
+TEST_CASE("a registration overrides a restored account")
 {
     incarnation_fixture fixture;
     fixture.make();
@@ -245,7 +249,7 @@
     CHECK(fixture.manager->account().instance.empty());
 }
 
-TEST_CASE("a silent backend server that is remembered gets no work")
+TEST_CASE("a restored backend server that is silent gets no work")
 {
     incarnation_fixture fixture;
     fixture.server.silent = true;
@@ -253,6 +257,6 @@
     fixture.restore_server("life-1");
     fixture.run(milliseconds{500});
     CHECK(fixture.manager->account().phase == server_phase::absent);
-    fixture.register_server("life-2"); // Nobody speaks for the other one.
+    fixture.register_server("life-2"); // No poll has confirmed the other.
     CHECK(fixture.manager->account().instance == "life-2");
 }
--- a/tests/unit/runs/run_manager_leaving_tests.cpp
+++ b/tests/unit/runs/run_manager_leaving_tests.cpp
@@ -1,4 +1,4 @@
-// Backend servers that leave, and what is learned of their pace.
+// Announced shutdowns of a backend server, and the estimate of its pace.
 #include "glenhollow/runs/run_manager.hpp"
 #include "unit/support/fake_runner_port.hpp"
 
@@ -11,7 +11,7 @@
 
 constexpr lease_id entry_lease = memory_lease(0);
 
-/// An agent's manager with a backend server of 4 cores that can leave.
+/// A run manager with a backend server of 4 cores that can shut down.
 struct leaving_fixture
 {
     leaving_fixture()
@@ -36,8 +36,8 @@
         }
     }
 
-    /// @param left The notice.
-    /// @param age The account was on its way for so long.
+    /// @param left Announced time until the shutdown.
+    /// @param age Time that the account was in transit.
     void announce_leaving(duration left, duration age = {})
     {
         account.phase = server_phase::draining;
@@ -72,15 +72,16 @@
 
 } // namespace
 
-TEST_CASE("a run that can't end before its server leaves is stopped, then told")
+TEST_CASE("a run that cannot finish before the shutdown is stopped, then "
+          "reported")
 {
     leaving_fixture fixture;
-    fixture.server.makes_no_progress = true; // Its progress says nothing yet.
+    fixture.server.makes_no_progress = true; // Only the estimate applies.
     const auto run = fixture.order(5000, 20'000);
     fixture.run(milliseconds{50});
     REQUIRE(fixture.server.running.size() == 1);
     fixture.announce_leaving(seconds{2});
-    CHECK(fixture.ends().empty()); // Not before it has surely ended.
+    CHECK(fixture.ends().empty()); // Its end is not confirmed yet.
     fixture.run(milliseconds{150});
     CHECK(fixture.server.running.empty());
     const auto received = fixture.ends();
@@ -92,7 +93,7 @@
     CHECK(fixture.server.stops == 1);
 }
 
-TEST_CASE("a stop at a leaving server that gets no answer is sent again")
+TEST_CASE("an unanswered stop at a leaving server is retried")
 {
     leaving_fixture fixture;
     fixture.server.makes_no_progress = true;
@@ -107,7 +108,7 @@
     CHECK(fixture.manager->stats().moved == 1);
 }
 
-TEST_CASE("a run that can end before its server leaves runs on")
+TEST_CASE("a run that can finish before the shutdown continues")
 {
     leaving_fixture fixture;
     fixture.order(200, 20'000);
@@ -118,7 +119,7 @@
     CHECK(fixture.server.stops == 0);
 }
 
-TEST_CASE("a run too late for another server is left where it runs")
+TEST_CASE("a run that cannot finish elsewhere in time is not stopped")
 {
     leaving_fixture fixture;
     fixture.server.makes_no_progress = true;
@@ -130,7 +131,7 @@
     CHECK(fixture.manager->stats().unfinishable == 1);
 }
 
-TEST_CASE("a server that leaves gets no new work, not even short tasks")
+TEST_CASE("a leaving server gets no new work")
 {
     leaving_fixture fixture;
     fixture.announce_leaving(seconds{2});
@@ -143,7 +144,7 @@
     CHECK(received[0].outcome == run_outcome::not_begun);
 }
 
-TEST_CASE("a notice that was read late counts from when it was told")
+TEST_CASE("the shutdown time counts from when it was announced")
 {
     leaving_fixture fixture;
     fixture.announce_leaving(seconds{2}, milliseconds{1500});
@@ -152,7 +153,7 @@
     CHECK(*fixture.manager->load().leaves_in >= milliseconds{400});
 }
 
-TEST_CASE("a server that stays longer than it said moves no more runs")
+TEST_CASE("a later shutdown time in the next heartbeat replaces the first")
 {
     leaving_fixture fixture;
     fixture.server.makes_no_progress = true;
@@ -166,7 +167,7 @@
     CHECK(fixture.manager->stats().leaving_notices == 1);
 }
 
-TEST_CASE("with its life a server's notice ends")
+TEST_CASE("the announced shutdown ends with the incarnation")
 {
     leaving_fixture fixture;
     fixture.announce_leaving(seconds{2});
@@ -175,13 +176,13 @@
     fixture.account.instance = fixture.server.incarnation = "life-2";
     fixture.account.phase = server_phase::ready;
     fixture.manager->registered(fixture.account);
-    fixture.run(milliseconds{200}); // The look that is out is another life's.
+    fixture.run(milliseconds{200}); // The pending poll expects the previous id.
     fixture.order(100, 1000);
     fixture.run(milliseconds{50});
     CHECK(fixture.server.running.size() == 1);
 }
 
-TEST_CASE("what dies with a leaving server is told as lapsed")
+TEST_CASE("runs that end with a leaving server are reported as lapsed")
 {
     leaving_fixture fixture;
     fixture.server.makes_no_progress = true;
@@ -196,7 +197,7 @@
     CHECK(received[0].outcome == run_outcome::lapsed);
 }
 
-TEST_CASE("the pace of a server is learned from all its ends, for one life")
+TEST_CASE("the pace is estimated from all ends of one incarnation")
 {
     leaving_fixture fixture;
     for (std::uint32_t i = 0; i < 6; ++i)
@@ -217,7 +218,7 @@
     CHECK(fixture.manager->load().pace == Approx(0));
 }
 
-TEST_CASE("ends at a cold server say nothing of its pace")
+TEST_CASE("ends during the warm-up do not count for the pace")
 {
     leaving_fixture fixture;
     fixture.manager->registered(fixture.account,
--- a/tests/unit/runs/run_manager_tests.cpp
+++ b/tests/unit/runs/run_manager_tests.cpp
@@ -11,7 +11,7 @@
 constexpr lease_id entry_lease = memory_lease(0);
 constexpr std::uint32_t first_run = first_memory_run + 1;
 
-/// An agent's manager with a runner of 4 cores.
+/// A run manager with a backend server of 4 cores.
 struct manager_fixture
 {
     manager_fixture()
@@ -32,7 +32,8 @@
             loop.clock, server, loop.delay(), 1000, run_manager_settings{});
     }
 
-    /// Lets time pass with an entry that answers, or with none.
+    /// Advances the time.
+    /// @param entry_answers Whether the entry renews its lease.
     void run(duration length, bool entry_answers = true)
     {
         constexpr duration step = milliseconds{10};
@@ -50,7 +51,7 @@
         return {{42, 0, 0, index}, run};
     }
 
-    /// Orders a run of another job, with a guess of its time.
+    /// Orders a run of another job, with an estimated run time.
     run_ref order_of_job(job_id job)
     {
         run_order order;
@@ -81,7 +82,7 @@
 
 } // namespace
 
-TEST_CASE("starts stay within the runner's room, most urgent first")
+TEST_CASE("starts stay within the server's capacity, most urgent first")
 {
     manager_fixture fixture;
     for (std::uint32_t i = 0; i < 6; ++i)
@@ -95,7 +96,7 @@
     CHECK(fixture.server.running.back() == manager_fixture::ref(5));
 }
 
-TEST_CASE("an end is told at once and confirmed to the runner only after")
+TEST_CASE("an end is reported at once and confirmed to the server afterwards")
 {
     manager_fixture fixture;
     fixture.order(manager_fixture::ref(0));
@@ -111,7 +112,7 @@
     CHECK(fixture.server.confirmed == 1);
 }
 
-TEST_CASE("a start whose answer is lost is found running, not started again")
+TEST_CASE("a start whose answer is lost is not repeated")
 {
     manager_fixture fixture;
     fixture.server.lose_answers = 1;
@@ -122,7 +123,7 @@
     CHECK(fixture.ends().empty());
 }
 
-TEST_CASE("a start without an answer is barred before it counts as not begun")
+TEST_CASE("an unanswered start is prevented before it counts as not begun")
 {
     manager_fixture fixture;
     fixture.server.drop_orders = 1;
@@ -131,16 +132,14 @@
     const auto received = fixture.ends();
     REQUIRE(received.size() == 1);
     CHECK(received[0].outcome == run_outcome::not_begun);
-    // It arrives seconds later.
+    // The start arrives late.
     REQUIRE(fixture.server.late_starts.size() == 1);
     const auto& [run, context] = fixture.server.late_starts.front();
     CHECK(fixture.server.begin(run, context) != order_outcome::done);
 }
 
-TEST_CASE("a task whose start is lost is free to start elsewhere soon")
+TEST_CASE("a task whose start is lost can soon start elsewhere")
 {
-    // Found on a day of late orders: each lost start took its room, and its
-    // task's time, for half a second.
     manager_fixture fixture;
     fixture.server.drop_orders = 1;
     fixture.order(manager_fixture::ref(0));
@@ -151,7 +150,7 @@
     CHECK(fixture.manager->load().used.cpu == 0);
 }
 
-TEST_CASE("a stop that is lost as well is sent again")
+TEST_CASE("a lost stop is retried")
 {
     manager_fixture fixture;
     fixture.server.drop_orders = 2;
@@ -163,15 +162,13 @@
     CHECK(fixture.server.stops == 2);
 }
 
-TEST_CASE("an end is known soon although the answer to a look is lost")
+TEST_CASE("an end is soon known although the answer to a poll is lost")
 {
-    // Found on a day of late orders: agents saw no ends for more than half of
-    // the time, and the room of all that had ended stayed taken.
     manager_fixture fixture;
     fixture.order(manager_fixture::ref(0));
     fixture.run(milliseconds{20});
     fixture.server.drop_poll = true;
-    fixture.run(milliseconds{110}); // The next look is lost.
+    fixture.run(milliseconds{110}); // The next poll is lost.
     REQUIRE_FALSE(fixture.server.drop_poll);
     fixture.server.finish(manager_fixture::ref(0), run_outcome::done);
     fixture.run(milliseconds{150});
@@ -179,7 +176,7 @@
     CHECK(fixture.manager->stats().polls_lost == 1);
 }
 
-TEST_CASE("with neither start nor stop answered, the start's deadline passes")
+TEST_CASE("a start is settled by its deadline if no stop is answered")
 {
     manager_fixture fixture;
     fixture.server.drop_orders = 100;
@@ -192,7 +189,7 @@
     CHECK(fixture.server.begin(run, context) == order_outcome::late);
 }
 
-TEST_CASE("runs of a silent entry are stopped within their lease")
+TEST_CASE("runs of a silent entry are stopped when their lease expires")
 {
     manager_fixture fixture;
     fixture.order(manager_fixture::ref(0));
@@ -206,7 +203,7 @@
     CHECK(fixture.manager->unconfirmed().empty());
 }
 
-TEST_CASE("where stops get no answer, the hold is left to lapse")
+TEST_CASE("the hold lapses if stops are unanswered")
 {
     manager_fixture fixture;
     fixture.order(manager_fixture::ref(0));
@@ -217,7 +214,7 @@
     CHECK(fixture.manager->stats().lapses == 1);
 }
 
-TEST_CASE("an entry's next process ends what the last one had in memory")
+TEST_CASE("in-memory runs end with the process of their entry")
 {
     manager_fixture fixture;
     fixture.order(manager_fixture::ref(0));
@@ -227,7 +224,7 @@
     CHECK(fixture.server.running.empty());
 }
 
-TEST_CASE("nothing starts without a lease, and its entry is told so")
+TEST_CASE("an order without a lease is returned as not begun")
 {
     manager_fixture fixture;
     fixture.run(milliseconds{900}, false);
@@ -242,10 +239,9 @@
     CHECK(fixture.server.running.empty());
 }
 
-TEST_CASE("an order to an agent where its entry had nothing waits for a lease")
+TEST_CASE("an order without a lease waits for its renewal")
 {
-    // Entries with nothing at an agent hear from it rarely, so that the lease
-    // has run out by the time of the next order.
+    // Idle entries get few reports, so their lease expires between orders.
     manager_fixture fixture;
     fixture.run(milliseconds{900}, false);
     fixture.order(manager_fixture::ref(0));
@@ -256,10 +252,10 @@
     CHECK(fixture.server.running.size() == 1);
 }
 
-TEST_CASE("an order that was long on its way brings no lease with it")
+TEST_CASE("a delayed order does not renew the lease")
 {
-    // Its entry froze, or the link held it up, for longer than the lease that
-    // it carries; the entry may have given this agent up meanwhile.
+    // The order was delayed for longer than its lease; the entry may have
+    // ordered the task elsewhere.
     manager_fixture fixture;
     fixture.run(milliseconds{2000}, false);
     const auto now = fixture.loop.clock.now();
@@ -272,7 +268,8 @@
     CHECK(received[0].outcome == run_outcome::not_begun);
 }
 
-TEST_CASE("an order that brings a lease starts at once, for as long as that is")
+TEST_CASE("an order that renews the lease starts at once and ends with the "
+          "lease")
 {
     manager_fixture fixture;
     fixture.run(milliseconds{2000}, false);
@@ -285,9 +282,9 @@
     CHECK(fixture.server.running.empty());
 }
 
-TEST_CASE("an order of an earlier session never starts in the next one")
+TEST_CASE("an order of an earlier session does not start in the next one")
 {
-    // The entry may have given the session up and ordered the task elsewhere.
+    // The entry may have ordered the task elsewhere.
     manager_fixture fixture;
     fixture.run(milliseconds{900}, false);
     fixture.order(manager_fixture::ref(0));
@@ -299,7 +296,7 @@
     CHECK(received[0].outcome == run_outcome::not_begun);
 }
 
-TEST_CASE("a lease is in use while its holder has a run or an end here")
+TEST_CASE("a lease is in use while it has a run or an end here")
 {
     manager_fixture fixture;
     CHECK(fixture.manager->leases_in_use().empty());
@@ -309,7 +306,7 @@
     CHECK(fixture.manager->leases_in_use() == std::set<lease_id>{entry_lease});
 }
 
-TEST_CASE("an entry that was silent for a while is told what was stopped")
+TEST_CASE("an entry that was silent receives the ends of its stopped runs")
 {
     manager_fixture fixture;
     fixture.order(manager_fixture::ref(0));
@@ -320,11 +317,12 @@
     const auto received = fixture.ends();
     REQUIRE(received.size() == 1);
     CHECK(received[0].outcome == run_outcome::stopped);
-    // The runner was not held back meanwhile.
+    // The end was released meanwhile.
     CHECK(fixture.server.confirmed == 1);
 }
 
-TEST_CASE("a restarted agent starts nothing until it knows what runs")
+TEST_CASE("a restarted agent starts nothing until the resources of all runs "
+          "are known")
 {
     manager_fixture fixture;
     fixture.order(manager_fixture::ref(0), 3000);
@@ -351,7 +349,7 @@
     CHECK(fixture.server.running.front() == manager_fixture::ref(1));
 }
 
-TEST_CASE("found runs that nobody claims are stopped")
+TEST_CASE("unclaimed runs found by a restarted agent are stopped")
 {
     manager_fixture fixture;
     fixture.order(manager_fixture::ref(0));
@@ -363,7 +361,7 @@
     CHECK(fixture.server.running.empty());
 }
 
-TEST_CASE("a part's end that nobody journals lets the hold lapse, once")
+TEST_CASE("an unconfirmed end of a part makes the hold lapse once")
 {
     manager_fixture fixture;
     const run_ref durable_run{{42, 0, 0, 0}, 1};
@@ -380,16 +378,15 @@
     fixture.server.finish(durable_run, run_outcome::done);
     fixture.run(seconds{6});
     CHECK(fixture.manager->stats().lapses == 1);
-    // A successor is still told of it.
+    // The next owner still receives it.
     const auto known = fixture.manager->adopt(part, 2);
     REQUIRE(known.ends.size() == 1);
     CHECK(known.ends[0].outcome == run_outcome::done);
 }
 
-TEST_CASE("an order that waits does not begin under a later owner's lease")
+TEST_CASE("a waiting order does not start under a later owner's lease")
 {
-    // The later owner may have had the task done elsewhere, by a run that its
-    // own successor has yet to hear of.
+    // The later owner may have run the task elsewhere.
     manager_fixture fixture;
     const auto part = part_of(42, run_manager_settings{}.parts);
     fixture.manager->adopt(part, 1);
@@ -409,13 +406,10 @@
     CHECK(fixture.server.started.empty());
 }
 
-TEST_CASE("an order that waits does not begin for an owner that attaches again")
+TEST_CASE("a waiting order does not start after its owner attaches again")
 {
-    // An agent was paused; its owner gave it up and had the task begin at
-    // another one. The agent woke with the order, the owner attached and
-    // renewed its lease, and the task began here too, 222 ms after the other
-    // run: the owner's stop was still on its way. Seen in the soak, whose plan
-    // is same_owner.
+    // The owner may have started the task elsewhere while the agent was
+    // suspended.
     manager_fixture fixture;
     const auto part = part_of(42, run_manager_settings{}.parts);
     fixture.manager->adopt(part, 1);
@@ -435,7 +429,7 @@
     CHECK(fixture.server.started.empty());
 }
 
-TEST_CASE("an earlier owner of a part is declined and its orders refused")
+TEST_CASE("an earlier owner of a part is declined and its orders are refused")
 {
     manager_fixture fixture;
     const auto part = part_of(42, run_manager_settings{}.parts);
@@ -451,7 +445,7 @@
     CHECK(fixture.server.running.empty());
 }
 
-TEST_CASE("another life of the runner ends what the last one ran")
+TEST_CASE("a new incarnation ends the runs of the last one")
 {
     manager_fixture fixture;
     fixture.order(manager_fixture::ref(0));
@@ -461,14 +455,14 @@
     fixture.server.running.clear();
     fixture.server.incarnation = "life-2";
     fixture.manager->registered(next);
-    fixture.run(milliseconds{10}); // Until a look has met the new life.
+    fixture.run(milliseconds{10}); // A poll reaches the new server.
     const auto received = fixture.ends();
     REQUIRE(received.size() == 1);
     CHECK(received[0].outcome == run_outcome::lapsed);
     CHECK(received[0].number == 0);
 }
 
-TEST_CASE("a draining runner gets no new work and its orders come back")
+TEST_CASE("orders to a draining server are returned")
 {
     manager_fixture fixture;
     auto leaving = fixture.account;
@@ -480,7 +474,7 @@
     REQUIRE(fixture.ends().size() == 1);
 }
 
-TEST_CASE("a runner that answers nothing is absent and its runs lapse")
+TEST_CASE("a silent server is absent and its runs lapse")
 {
     manager_fixture fixture;
     fixture.order(manager_fixture::ref(0));
@@ -493,10 +487,8 @@
     CHECK(received[0].outcome == run_outcome::lapsed);
 }
 
-TEST_CASE("a runner that refuses starts is left alone for a while")
+TEST_CASE("a server that refuses starts gets no orders during a backoff")
 {
-    // Found in an incident: two such runners looked empty, and each task went
-    // from one to the other every two milliseconds.
     manager_fixture fixture;
     fixture.server.refuse = true;
     fixture.order(manager_fixture::ref(0));
@@ -514,10 +506,9 @@
     CHECK(fixture.server.running.size() == 1);
 }
 
-TEST_CASE("a runner that stands still loses its runs and gets no more")
+TEST_CASE("a stalled server loses its runs and gets no more until probes "
+          "succeed")
 {
-    // Found on alpenfluss-nom-grown: callers left before any run counted as
-    // stalled, so that nobody ever learned of such runners.
     manager_fixture fixture;
     fixture.server.makes_no_progress = true;
     for (job_id job = 1; job <= 4; ++job)
@@ -528,7 +519,7 @@
     CHECK(fixture.manager->stats().stalled == 4);
     fixture.order_of_job(5);
     CHECK(fixture.manager->stats().not_begun == 1);
-    // One at a time on probation, until it is sound again.
+    // Probes run one at a time until enough of them succeed.
     fixture.server.makes_no_progress = false;
     fixture.run(milliseconds{500});
     CHECK(fixture.manager->account().phase == server_phase::ready);
@@ -548,7 +539,7 @@
     CHECK(fixture.server.running.size() == 2);
 }
 
-TEST_CASE("a run that shows progress is never taken for a stalled one")
+TEST_CASE("a run with progress does not count as stalled")
 {
     manager_fixture fixture;
     for (job_id job = 1; job <= 4; ++job)
@@ -558,7 +549,7 @@
     CHECK(fixture.manager->stats().stalled == 0);
 }
 
-TEST_CASE("looks that are not answered do not make a run stalled")
+TEST_CASE("a run does not count as stalled while polls are unanswered")
 {
     manager_fixture fixture;
     fixture.order_of_job(1);
@@ -568,10 +559,9 @@
     CHECK(fixture.manager->stats().stalled == 0);
 }
 
-TEST_CASE("the runner is looked at as soon as no end is unconfirmed")
+TEST_CASE("a poll is sent as soon as no end is unconfirmed")
 {
-    // Ends that were not confirmed yet made looks return at once, so these
-    // were 8 ms apart; the next end waited for the next look.
+    // Otherwise the next end would be seen only after the poll interval.
     manager_fixture fixture;
     fixture.order(manager_fixture::ref(0));
     fixture.run(milliseconds{20});
@@ -585,5 +575,5 @@
     fixture.manager->confirm(received[0]);
     CHECK(fixture.server.polls == before + 1);
     fixture.loop.advance(milliseconds{20});
-    CHECK(fixture.server.polls == before + 1); // It waits for an end.
+    CHECK(fixture.server.polls == before + 1); // The poll waits for an end.
 }
--- a/tests/unit/runs/run_wire_tests.cpp
+++ b/tests/unit/runs/run_wire_tests.cpp
@@ -18,7 +18,8 @@
 
 } // namespace
 
-TEST_CASE("times and pace of a server travel with reports of room alone")
+TEST_CASE("reports without an account contain the times and pace of the "
+          "server")
 {
     server_report report;
     report.has_account = false;
@@ -32,7 +33,7 @@
     CHECK(got.load.pace == Approx(1.625));
 }
 
-TEST_CASE("a server that leaves at once is told apart from one that stays")
+TEST_CASE("a shutdown in 0 ms differs from no announced shutdown")
 {
     server_report report;
     CHECK_FALSE(over_wire(report).load.leaves_in);
@@ -41,7 +42,7 @@
     CHECK(over_wire(report).load.leaves_in->count() == 0);
 }
 
-TEST_CASE("what an order expects and how long it is of use travel with it")
+TEST_CASE("an order contains the expected run time and the deadline")
 {
     run_order order;
     order.expected_ms = 90;
@@ -54,7 +55,7 @@
     CHECK(got.useful_ms == 2900);
 }
 
-TEST_CASE("which life of its id a server is in travels with its account")
+TEST_CASE("an account contains the start time of the incarnation")
 {
     server_report report;
     report.has_account = true;
--- a/tests/unit/runs/server_account_json_tests.cpp
+++ b/tests/unit/runs/server_account_json_tests.cpp
@@ -1,11 +1,10 @@
-// What an agent's next process needs to ask its backend server.
 #include "glenhollow/runs/server_account_json.hpp"
 
 #include <catch2/catch.hpp>
 
 using namespace glenhollow;
 
-TEST_CASE("a memo of a backend server is read as it was written")
+TEST_CASE("an account is decoded as it was encoded")
 {
     server_account account;
     account.service = "service-1";
@@ -29,7 +28,7 @@
     CHECK(read.value().phase == server_phase::draining);
 }
 
-TEST_CASE("a memo of before, without the start of the life, is read")
+TEST_CASE("an older record without a start time is decoded")
 {
     const auto read = decode_server_account(
         R"({"service":"s","instance":"i","zone":"z","labels":[],)"
@@ -39,7 +38,7 @@
     CHECK(read.value().sequence == 0);
 }
 
-TEST_CASE("a memo of a wrong form is told, not taken")
+TEST_CASE("an invalid record is rejected")
 {
     for (const auto* memo :
          {"", "[]", "{}", R"({"service":"s"})",
--- a/tests/unit/runs/server_breaker_tests.cpp
+++ b/tests/unit/runs/server_breaker_tests.cpp
@@ -9,7 +9,7 @@
 
 constexpr instant begin = seconds{10};
 
-/// @return A breaker that three bad ends of two jobs have opened.
+/// @return A breaker opened by three failures of two jobs.
 server_breaker opened()
 {
     server_breaker breaker({});
@@ -21,14 +21,14 @@
 
 } // namespace
 
-TEST_CASE("a runner whose runs end badly in a row is given no work")
+TEST_CASE("consecutive failures open the breaker")
 {
     const auto breaker = opened();
     CHECK(breaker.state(begin) == breaker_state::open);
     CHECK(breaker.state(begin + milliseconds{400}) == breaker_state::probing);
 }
 
-TEST_CASE("one job that fails everywhere says nothing of a runner")
+TEST_CASE("failures of a single job do not open the breaker")
 {
     server_breaker breaker({});
     for (int i = 0; i < 10; ++i)
@@ -36,7 +36,7 @@
     CHECK(breaker.state(begin) == breaker_state::closed);
 }
 
-TEST_CASE("a good end between bad ones keeps a runner at work")
+TEST_CASE("a success resets the count of failures")
 {
     server_breaker breaker({});
     for (job_id job = 1; job < 10; ++job)
@@ -47,7 +47,8 @@
     CHECK(breaker.state(begin) == breaker_state::closed);
 }
 
-TEST_CASE("good probes bring a runner back, a bad one doubles the wait")
+TEST_CASE("successful probes close the breaker, a failed one doubles the open "
+          "time")
 {
     auto breaker = opened();
     const auto probe = begin + milliseconds{500};
@@ -60,7 +61,7 @@
     CHECK(breaker.state(later) == breaker_state::closed);
 }
 
-TEST_CASE("waits between probes are bounded")
+TEST_CASE("the open time is bounded")
 {
     auto breaker = opened();
     auto now = begin;
--- a/tests/unit/runs/server_clock_reset_tests.cpp
+++ b/tests/unit/runs/server_clock_reset_tests.cpp
@@ -1,11 +1,6 @@
-// Seen in simulated schedules (durable_schedule_tests): a task ran at two
-// servers at once. A backend server ended and ran again under its id; its clock
-// began anew. The next look of its agent still asked for a hold until a moment
-// of the last life's clock, seconds ahead of the new one: the platform cut it
-// to its own longest hold, twice what agents and entries reckon with. The agent
-// stood still, and its runs went on past the time at which they were given up.
-//
-// Proof: seeds 7214 (kept) and 17880 (in memory) failed so, and hold now.
+// A restarted backend server has a new clock. A hold requested by the clock of
+// the previous incarnation would end seconds too late, and the runs would
+// continue after their task was started elsewhere.
 #include "glenhollow/runs/run_manager.hpp"
 #include "unit/support/fake_runner_port.hpp"
 
@@ -13,7 +8,7 @@
 
 using namespace glenhollow;
 
-TEST_CASE("no look asks a new life for a hold by the last life's clock",
+TEST_CASE("a restarted server is not asked for a hold by its previous clock",
           "[clock_of_life]")
 {
     manual_loop loop;
@@ -41,5 +36,5 @@
         CHECK(server.held_until <=
               server.now_ms() + run_manager_settings{}.hold / milliseconds{1});
     }
-    CHECK(server.held_until > server.now_ms()); // It is held all the same.
+    CHECK(server.held_until > server.now_ms()); // The hold is renewed.
 }
--- a/tests/unit/runs/server_pace_tests.cpp
+++ b/tests/unit/runs/server_pace_tests.cpp
@@ -6,7 +6,8 @@
 
 using namespace glenhollow;
 
-TEST_CASE("a slow server is known after a few ends of guesses off by 40%")
+TEST_CASE("a slow server is detected after a few ends despite estimates off "
+          "by 40%")
 {
     for (std::uint32_t seed = 1; seed <= 20; ++seed)
     {
@@ -22,16 +23,16 @@
     }
 }
 
-TEST_CASE("one end that is far off hardly moves the estimate")
+TEST_CASE("a single outlier has little effect on the estimate")
 {
     server_pace pace;
     for (int i = 0; i < 20; ++i)
         pace.record(1.0);
-    pace.record(15.0); // The agent was paused while it ended.
+    pace.record(15.0); // The agent was suspended while the run ended.
     CHECK(pace.value() < 1.05);
 }
 
-TEST_CASE("a server that turns slow is found out by later ends")
+TEST_CASE("a server that becomes slow is detected")
 {
     server_pace pace;
     for (int i = 0; i < 100; ++i)
@@ -41,7 +42,7 @@
     CHECK(pace.value() > 1.8);
 }
 
-TEST_CASE("a third slower and a third quicker cancel out")
+TEST_CASE("equal deviations in both directions cancel out")
 {
     server_pace pace;
     for (int i = 0; i < 4; ++i)
@@ -49,7 +50,7 @@
     CHECK(pace.value() == Approx(1.0));
 }
 
-TEST_CASE("of another life nothing is known")
+TEST_CASE("a reset discards the estimate")
 {
     server_pace pace;
     for (int i = 0; i < 4; ++i)
--- a/tests/unit/runs/suspended_machine_tests.cpp
+++ b/tests/unit/runs/suspended_machine_tests.cpp
@@ -1,9 +1,7 @@
-// A machine may be suspended for seconds, with the agent and the backend server
-// on it. The server measures its hold by its steady clock, which doesn't count
-// that time, while the agent's clock does. So an agent that adds the time since
-// its last reading of the server's clock names moments that lie later by the
-// whole suspension, and one that waits for a hold's end by its own clock takes
-// it for over while the server goes on: tasks would run at two servers at once.
+// A VM may be suspended together with its agent and backend server. The hold is
+// measured by a clock that does not count suspended time, while leases do count
+// it. Mixing them up would extend holds or end them too early, and a task could
+// run at two servers at the same time.
 #include "glenhollow/runs/run_manager.hpp"
 #include "unit/support/fake_runner_port.hpp"
 
@@ -30,7 +28,8 @@
         run(milliseconds{20});
     }
 
-    /// @param renewed Whether the entry answers.
+    /// Advances the time.
+    /// @param renewed Whether the entry renews its lease.
     void run(duration length, bool renewed = true)
     {
         constexpr duration step = milliseconds{5};
@@ -48,7 +47,7 @@
         run_order order;
         order.run = {{1, 0, 0, 0}, first_memory_run + 1};
         order.needs = {1000, 10, 0};
-        order.estimate_ms = 60'000; // Progress is not judged here.
+        order.estimate_ms = 60'000; // Long enough not to stall.
         manager.order(order, entry_lease);
         run(milliseconds{100});
         return order.run;
@@ -60,7 +59,7 @@
                server.running.end();
     }
 
-    /// @return For how long the server goes on if nobody calls it any more.
+    /// @return Remaining time of the hold if it is not renewed.
     duration held_for() const
     {
         return milliseconds{
@@ -74,14 +73,14 @@
 
 } // namespace
 
-TEST_CASE("a suspension does not lengthen a server's hold", "[suspended]")
+TEST_CASE("a suspension does not extend the hold", "[suspended]")
 {
     suspension_fixture fixture;
     const auto run = fixture.order();
     REQUIRE(fixture.runs(run));
     for (int i = 0; i < 5; ++i)
     {
-        // Shorter than the lease: what runs goes on.
+        // Shorter than the lease: the run continues.
         fixture.loop.clock.suspend(milliseconds{600});
         for (int step = 0; step < 20; ++step)
         {
@@ -92,12 +91,13 @@
     }
 }
 
-TEST_CASE("what a suspended server goes on with is not told as lapsed",
+TEST_CASE("runs do not count as lapsed while the hold lasts after a "
+          "suspension",
           "[suspended]")
 {
     suspension_fixture fixture;
     const auto run = fixture.order();
-    // Neither looks nor stops get through from now on.
+    // Polls and stops are lost from now on.
     fixture.server.silent = true;
     fixture.server.drop_orders = 1000;
     fixture.run(milliseconds{200});
@@ -116,16 +116,17 @@
     CHECK(ends.front().outcome == run_outcome::lapsed);
 }
 
-TEST_CASE("no start after a suspension goes on past its lease", "[suspended]")
+TEST_CASE("no start after a suspension continues long after its lease",
+          "[suspended]")
 {
-    // At most, for the hold that runs of others have: see run_manager.
+    // Same limit as in run_manager::may_start.
     constexpr duration held_past_lease = milliseconds{450};
     const run_manager_settings limits;
     for (const auto length : {100, 200, 300, 500, 700})
     {
         INFO("suspended for " << length << " ms");
         suspension_fixture fixture;
-        // The entry's last word is of before the suspension.
+        // The lease was renewed before the suspension.
         const auto received = fixture.loop.clock.now();
         fixture.manager.renew(entry_lease, 0, received);
         fixture.loop.clock.suspend(milliseconds{length});
@@ -140,7 +141,7 @@
     }
 }
 
-TEST_CASE("a run that was suspended with its server has not stood still",
+TEST_CASE("a run does not count as stalled because of a suspension",
           "[suspended]")
 {
     suspension_fixture fixture;
@@ -151,7 +152,7 @@
     fixture.manager.order(order, entry_lease);
     fixture.run(milliseconds{100});
     REQUIRE(fixture.runs(order.run));
-    // No look shows progress of a time in which nothing ran.
+    // Nothing runs, so polls list no progress.
     fixture.server.makes_no_progress = true;
     fixture.loop.clock.suspend(milliseconds{700});
     fixture.run(milliseconds{50});
--- a/tests/unit/runs/unconfirmed_ends_tests.cpp
+++ b/tests/unit/runs/unconfirmed_ends_tests.cpp
@@ -20,7 +20,8 @@
 
 } // namespace
 
-TEST_CASE("the runner may forget ends only as far as all are confirmed")
+TEST_CASE("ends are confirmed to the server only up to the first unconfirmed "
+          "one")
 {
     unconfirmed_ends unconfirmed;
     REQUIRE(unconfirmed.add(end_of(0, 1), lease, {}));
@@ -36,10 +37,9 @@
     CHECK_FALSE(unconfirmed.has_unsettled());
 }
 
-TEST_CASE("a confirmed end that the runner lists again is no news")
+TEST_CASE("a confirmed end that is listed again is not new")
 {
-    // Found on a bench day: one end without an owner held the numbers back,
-    // and each look took all later ends for new ones.
+    // An earlier unconfirmed end makes the server list it again.
     unconfirmed_ends unconfirmed;
     unconfirmed.add(end_of(0, 1), lease, {});
     unconfirmed.add(end_of(1, 2), lease, {});
@@ -48,7 +48,7 @@
     CHECK(unconfirmed.ends().size() == 1);
 }
 
-TEST_CASE("a concluded end gives way to the one that the runner lists")
+TEST_CASE("a listed end replaces a concluded one")
 {
     unconfirmed_ends unconfirmed;
     unconfirmed.add(end_of(0, 0), lease, {});
@@ -59,7 +59,7 @@
     CHECK(unconfirmed.confirmed() == 5);
 }
 
-TEST_CASE("a lapse lets the runner forget, another life begins anew")
+TEST_CASE("a lapse releases all ends; a new incarnation resets their numbers")
 {
     unconfirmed_ends unconfirmed;
     unconfirmed.add(end_of(0, 1), lease, {});
