--- a/tests/unit/support/fake_runner_port.hpp
+++ b/tests/unit/support/fake_runner_port.hpp
@@ -15,7 +15,8 @@
 namespace glenhollow
 {
 
-/// A runner by the platform's rules, with faults.
+/// A fake backend server that follows the platform's rules and can inject
+/// faults.
 class fake_backend_server final : public backend_server_client
 {
 public:
@@ -67,7 +68,7 @@
         ++polls;
         if (silent || std::exchange(drop_poll, false))
         {
-            ++link; // A connection without its answer is closed.
+            ++link; // An unanswered connection is closed.
             loop_.delay()(milliseconds{350},
                           [done = std::move(done)] { done({}); });
             return;
@@ -77,10 +78,10 @@
             loop_.delay()(milliseconds{1},
                           [done = std::move(done)]
                           {
-                              hold_result end;
-                              end.outcome = order_outcome::unhealthy;
-                              end.reached = false;
-                              done(std::move(end));
+                              hold_result result;
+                              result.outcome = order_outcome::unhealthy;
+                              result.reached = false;
+                              done(std::move(result));
                           });
             return;
         }
@@ -89,9 +90,9 @@
             loop_.delay()(milliseconds{1},
                           [done = std::move(done)]
                           {
-                              hold_result end;
-                              end.outcome = order_outcome::wrong_incarnation;
-                              done(std::move(end));
+                              hold_result result;
+                              result.outcome = order_outcome::wrong_incarnation;
+                              done(std::move(result));
                           });
             return;
         }
@@ -107,23 +108,25 @@
             [this, asked = incarnation_count, by = link, done = std::move(done)]
             {
                 if (asked != incarnation_count || unreachable)
-                    return done({}); // Its connection is gone.
+                    return done({}); // The connection is lost.
                 lapse();
-                hold_result end;
-                end.outcome = order_outcome::done;
-                end.clock_ms = now_ms();
-                end.born_ms = born_ms;
-                end.link = by;
+                hold_result result;
+                result.outcome = order_outcome::done;
+                result.clock_ms = now_ms();
+                result.born_ms = born_ms;
+                result.link = by;
                 for (const auto& run : running)
-                    end.running.push_back(
+                    result.running.push_back(
                         {run, percent += makes_no_progress ? 0 : 1});
-                end.finished = ends;
-                done(std::move(end));
+                result.finished = ends;
+                done(std::move(result));
             });
     }
 
-    /// @param context Of an order.
-    /// @return What a start of the run comes to now.
+    /// Starts a run.
+    /// @param run The run.
+    /// @param context Context of the order.
+    /// @return Outcome of the order.
     order_outcome begin(const run_ref& run, const order_context& context)
     {
         if (context.deadline_ms <= now_ms())
@@ -136,7 +139,7 @@
         return order_outcome::done;
     }
 
-    /// @param run Ends so.
+    /// Ends a run with the given outcome.
     void finish(run_ref run, run_outcome outcome)
     {
         const auto known = std::find(running.begin(), running.end(), run);
@@ -146,7 +149,7 @@
         ends.push_back({run, outcome, ++last_end_number, 0, true});
     }
 
-    /// Kills what nobody renewed.
+    /// Ends all runs if the hold was not renewed.
     void lapse()
     {
         if (now_ms() < held_until)
@@ -155,9 +158,9 @@
             finish(run, run_outcome::lapsed);
     }
 
-    /// Ends without a word and runs again under the same id: it knows nothing,
-    /// and its counts and its clock start anew.
-    /// @param born Of the new life, ms.
+    /// Restarts without a sign-off under the same id: all runs, numbers and the
+    /// clock are reset.
+    /// @param born Start time of the new incarnation, ms.
     void restart(std::int64_t born)
     {
         ++incarnation_count;
@@ -172,40 +175,42 @@
         held_until = 0;
     }
 
-    /// @return The runner's clock: a steady one, which stands still while the
-    /// machine is suspended.
+    /// @return The server's steady clock, which does not count suspended time.
     std::int64_t now_ms() const
     {
         const auto shown = loop_.clock.running() - clock_origin + clock_ahead;
         return std::chrono::duration_cast<milliseconds>(shown).count();
     }
 
-    std::vector<run_ref> running;  ///< Now.
-    std::vector<run_end> ends;     ///< Not confirmed.
-    std::vector<run_ref> barred;   ///< Stopped or ended.
-    std::map<job_id, int> started; ///< Counts starts.
-    std::vector<std::pair<run_ref, order_context>> late_starts; ///< Dropped.
-    std::uint64_t last_end_number = 0;                          ///< Of ends.
-    std::uint64_t confirmed = 0;                                ///< By looks.
-    std::int64_t held_until = 0;    ///< On its clock.
-    std::uint32_t percent = 0;      ///< Rises with each look.
-    int polls = 0;                  ///< Looks so far.
-    int stops = 0;                  ///< Stops so far.
-    int drop_orders = 0;            ///< So many get no answer, not done.
-    int lose_answers = 0;           ///< So many starts go unanswered.
-    bool refuse = false;            ///< Takes no starts.
-    int refusals = 0;               ///< So many refused.
-    bool drop_poll = false;         ///< The next look gets no answer.
-    bool silent = false;            ///< Looks get no answer.
-    bool makes_no_progress = false; ///< Its runs make no progress.
-    bool unreachable = false;       ///< Nobody listens there.
-    int incarnation_count = 1;      ///< So far.
-    std::uint64_t link = 1;         ///< Connection that looks come by.
-    std::int64_t born_ms = 0;       ///< Of this life, told with looks; 0: not.
-    instant clock_origin{};         ///< When its clock showed clock_ahead.
-    duration clock_ahead{};         ///< See there.
+    std::vector<run_ref> running;  ///< Current runs.
+    std::vector<run_end> ends;     ///< Unconfirmed ends.
+    std::vector<run_ref> barred;   ///< Runs that can no longer start.
+    std::map<job_id, int> started; ///< Number of starts by job.
+    std::vector<std::pair<run_ref, order_context>>
+        late_starts;                   ///< Dropped starts.
+    std::uint64_t last_end_number = 0; ///< Number of the last end.
+    std::uint64_t confirmed = 0;       ///< Ends confirmed by polls.
+    std::int64_t held_until = 0;    ///< End of the hold, by the server's clock.
+    std::uint32_t percent = 0;      ///< Progress; increases with each poll.
+    int polls = 0;                  ///< Number of polls.
+    int stops = 0;                  ///< Number of stops.
+    int drop_orders = 0;            ///< Number of orders to drop.
+    int lose_answers = 0;           ///< Number of starts to leave unanswered.
+    bool refuse = false;            ///< Refuses all starts.
+    int refusals = 0;               ///< Number of refused starts.
+    bool drop_poll = false;         ///< Drops the next poll.
+    bool silent = false;            ///< Drops all polls.
+    bool makes_no_progress = false; ///< Reports no progress of its runs.
+    bool unreachable = false;       ///< Refuses connections.
+    int incarnation_count = 1;      ///< Number of incarnations.
+    std::uint64_t link = 1;         ///< Current connection.
+    std::int64_t born_ms =
+        0; ///< Start time reported in polls; 0: not reported.
+    instant
+        clock_origin{}; ///< Local time at which the clock showed clock_ahead.
+    duration clock_ahead{}; ///< Reading of the clock at clock_origin.
     std::string
-        incarnation; ///< Calls that expect another are refused; empty: none.
+        incarnation; ///< Id; refuses calls for another id, unless empty.
 
 private:
     bool is_other_life(const order_context& context) const
@@ -225,7 +230,7 @@
                       });
     }
 
-    manual_loop& loop_; ///< Time.
+    manual_loop& loop_; ///< Runs delayed answers.
 };
 
 } // namespace glenhollow
