--- a/src/glenhollow/decision/admission.cpp
+++ b/src/glenhollow/decision/admission.cpp
@@ -19,8 +19,8 @@
 duration jittered_retry_after(duration wait, const admission_settings& settings,
                               random_engine& random)
 {
-    const auto base = std::clamp(wait, settings.least_retry_after,
-                                 settings.longest_retry_after);
+    const auto base =
+        std::clamp(wait, settings.min_retry_after, settings.max_retry_after);
     return base + std::chrono::duration_cast<duration>(base * uniform(random));
 }
 
@@ -32,7 +32,7 @@
         return {why, jittered_retry_after(wait, settings, random)};
     };
 
-    const double rate = std::max(request.slots_for_us, 1.0);
+    const double rate = std::max(request.available_slots, 1.0);
     const double queue_seconds = request.queued_seconds / rate;
     if (request.kept_bytes >= settings.max_kept_bytes)
         return refuse(reason::kept_answers_full, seconds{5});
@@ -44,16 +44,16 @@
 
     // The last of the job's tasks starts when the queue before it and its own
     // siblings have passed through the slots, then it runs for its length.
-    const double own =
+    const double job_seconds =
         static_cast<double>(request.tasks) * request.seconds_per_task / rate;
-    const double expected =
-        queue_seconds + std::max(own, request.seconds_per_task);
-    const double limit =
+    const double expected_seconds =
+        queue_seconds + std::max(job_seconds, request.seconds_per_task);
+    const double limit_seconds =
         std::chrono::duration<double>(request.deadline).count() *
         settings.deadline_share;
-    if (expected > limit)
+    if (expected_seconds > limit_seconds)
         return refuse(reason::deadline_unreachable,
-                      to_duration(expected - limit));
+                      to_duration(expected_seconds - limit_seconds));
     return {};
 }
 
--- a/src/glenhollow/decision/admission.hpp
+++ b/src/glenhollow/decision/admission.hpp
@@ -20,8 +20,8 @@
     /// Part of the deadline that queueing may be expected to take up.
     double deadline_share = 0.9;
 
-    duration least_retry_after = seconds{1};    ///< Before jitter.
-    duration longest_retry_after = seconds{30}; ///< Before jitter.
+    duration min_retry_after = seconds{1};  ///< Before jitter.
+    duration max_retry_after = seconds{30}; ///< Before jitter.
 };
 
 /// What admission looks at.
@@ -34,7 +34,7 @@
     double queued_seconds = 0;      ///< Expected work that waits.
     std::size_t jobs = 0;           ///< Unfinished at this shard.
     std::size_t kept_bytes = 0;     ///< Of kept answers.
-    double slots_for_us = 0;        ///< Slots this shard can count on.
+    double available_slots = 0;     ///< Slots this shard can count on.
     std::size_t usable_runners = 0; ///< That may get a task.
 };
 
--- a/src/glenhollow/decision/health.cpp
+++ b/src/glenhollow/decision/health.cpp
@@ -9,11 +9,11 @@
 {
 
 /// Weight of a new sample in the smoothed stretch.
-constexpr double stretch_weight = 0.1;
+constexpr double slowdown_weight = 0.1;
 
 } // namespace
 
-bool health_monitor::is_runners_fault(const outcome_of_task& end)
+bool health_monitor::is_runner_failure(const outcome_of_task& end)
 {
     switch (end.why)
     {
@@ -28,55 +28,59 @@
     }
 }
 
-bool health_monitor::may_eject_one_more() const
+bool health_monitor::can_eject_another() const
 {
     const auto ejected =
         std::count_if(runners_.begin(), runners_.end(),
-                      [](const auto& one) { return one.ejected; });
+                      [](const auto& state) { return state.ejected; });
     const double limit =
         settings_.most_ejected * static_cast<double>(runners_.size());
     return static_cast<double>(ejected) + 1 <= limit;
 }
 
-health_change health_monitor::note(runner_index runner,
-                                   const outcome_of_task& end, double seconds,
-                                   double expected, instant now)
+health_change health_monitor::record_outcome(runner_index runner,
+                                             const outcome_of_task& end,
+                                             double seconds, double expected,
+                                             instant now)
 {
     auto& state = runners_[runner];
     if (end.what == verdict::ran)
     {
         if (expected > 0)
         {
-            state.stretch +=
-                stretch_weight * (seconds / expected - state.stretch);
+            state.slowdown +=
+                slowdown_weight * (seconds / expected - state.slowdown);
             ++state.samples;
         }
-        state.failures = 0;
+        state.failure_count = 0;
         if (!state.on_trial)
             return health_change::none;
         state.on_trial = false;
-        state.next_ejection = settings_.first_ejection;
+        state.next_ejection_length = settings_.initial_ejection;
         return health_change::recovered;
     }
-    if (!is_runners_fault(end))
+    if (!is_runner_failure(end))
         return health_change::none;
-    ++state.failures;
-    const bool enough =
-        state.on_trial || state.failures >= settings_.failures_in_a_row;
-    if (!enough || state.ejected || !may_eject_one_more())
+    ++state.failure_count;
+    const bool should_eject =
+        state.on_trial || state.failure_count >= settings_.consecutive_failures;
+    if (!should_eject || state.ejected || !can_eject_another())
         return health_change::none;
     state.ejected = true;
     state.on_trial = false;
-    const auto length = std::max(state.next_ejection, settings_.first_ejection);
-    state.until = now + length;
-    state.next_ejection = std::min(length * 2, settings_.longest_ejection);
+    const auto ejection_length =
+        std::max(state.next_ejection_length, settings_.initial_ejection);
+    state.ejected_until = now + ejection_length;
+    state.next_ejection_length =
+        std::min(ejection_length * 2, settings_.max_ejection);
     return health_change::ejected;
 }
 
-health_change health_monitor::revisit(runner_index runner, instant now)
+health_change health_monitor::end_ejection_if_due(runner_index runner,
+                                                  instant now)
 {
     auto& state = runners_[runner];
-    if (!state.ejected || now < state.until)
+    if (!state.ejected || now < state.ejected_until)
         return health_change::none;
     state.ejected = false;
     state.on_trial = true;
@@ -89,9 +93,9 @@
     view.ejected = state.ejected;
     view.on_trial = state.on_trial;
     view.speed = 1.0;
-    if (state.samples >= settings_.least_samples &&
-        state.stretch > settings_.slow_at)
-        view.speed = std::max(settings_.least_speed, 1.0 / state.stretch);
+    if (state.samples >= settings_.min_samples &&
+        state.slowdown > settings_.slow_at)
+        view.speed = std::max(settings_.min_speed, 1.0 / state.slowdown);
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/decision/health.hpp
+++ b/src/glenhollow/decision/health.hpp
@@ -15,13 +15,13 @@
 /// Limits of the judgement on runners.
 struct health_settings
 {
-    std::size_t failures_in_a_row = 3;       ///< Ejects a runner.
-    double most_ejected = 0.3;               ///< Share of the runners.
-    duration first_ejection = seconds{2};    ///< Doubles each time.
-    duration longest_ejection = seconds{60}; ///< The doubling ends here.
-    double slow_at = 2.0;      ///< Times its siblings' length: less work.
-    double least_speed = 0.25; ///< A slow runner keeps this share of slots.
-    std::size_t least_samples = 20; ///< Before a runner is called slow.
+    std::size_t consecutive_failures = 3;   ///< Ejects a runner.
+    double most_ejected = 0.3;              ///< Share of the runners.
+    duration initial_ejection = seconds{2}; ///< Doubles each time.
+    duration max_ejection = seconds{60};    ///< The doubling ends here.
+    double slow_at = 2.0;         ///< Times its siblings' length: less work.
+    double min_speed = 0.25;      ///< A slow runner keeps this share of slots.
+    std::size_t min_samples = 20; ///< Before a runner is called slow.
 };
 
 /// A change in the state of a runner.
@@ -66,14 +66,15 @@
     /// @param expected Expected time, s; 0 where unknown.
     /// @param now The time.
     /// @return What changed.
-    health_change note(runner_index runner, const outcome_of_task& end,
-                       double seconds, double expected, instant now);
+    health_change record_outcome(runner_index runner,
+                                 const outcome_of_task& end, double seconds,
+                                 double expected, instant now);
 
     /// Lets ejected runners return on trial when their time is over.
     /// @param runner Which.
     /// @param now The time.
     /// @return What changed.
-    health_change revisit(runner_index runner, instant now);
+    health_change end_ejection_if_due(runner_index runner, instant now);
 
     /// Writes the judgement into a view.
     /// @param runner Which.
@@ -84,17 +85,17 @@
     /// What is known of a runner.
     struct runner_state
     {
-        std::size_t failures = 0; ///< In a row.
-        bool ejected = false;     ///< It gets no work.
-        bool on_trial = false;    ///< One task at a time.
-        instant until{};          ///< End of the ejection.
-        duration next_ejection{}; ///< Its length if it comes again.
-        double stretch = 1;       ///< Smoothed actual / expected length.
-        std::size_t samples = 0;  ///< Behind stretch.
+        std::size_t failure_count = 0;   ///< In a row.
+        bool ejected = false;            ///< It gets no work.
+        bool on_trial = false;           ///< One task at a time.
+        instant ejected_until{};         ///< End of the ejection.
+        duration next_ejection_length{}; ///< Its length if it comes again.
+        double slowdown = 1;             ///< Smoothed actual / expected length.
+        std::size_t samples = 0;         ///< Behind stretch.
     };
 
-    static bool is_runners_fault(const outcome_of_task& end);
-    bool may_eject_one_more() const;
+    static bool is_runner_failure(const outcome_of_task& end);
+    bool can_eject_another() const;
 
     health_settings settings_;          ///< Limits.
     std::vector<runner_state> runners_; ///< By index.
--- a/src/glenhollow/decision/occupancy.cpp
+++ b/src/glenhollow/decision/occupancy.cpp
@@ -10,28 +10,28 @@
 {
 
 /// Weight of a new length in the mean.
-constexpr double length_weight = 0.02;
+constexpr double mean_weight = 0.02;
 
 /// Weight of the assumption that runners are idle, against a fresh report.
-constexpr double doubt = 0.1;
+constexpr double idle_prior_weight = 0.1;
 
 /// Shortest mean length, s, so that the age of a report can be divided by it.
-constexpr double least_mean = 0.001;
+constexpr double min_mean_seconds = 0.001;
 
 } // namespace
 
 void occupancy_estimate::report(runner_index runner, std::int32_t busy,
-                                std::int32_t own, instant now)
+                                std::int32_t own_tasks, instant now)
 {
-    auto& known = runners_[runner];
-    const double others = std::max(busy - own, 0);
-    known = {others, now};
+    auto& last_report = runners_[runner];
+    const double peer_tasks = std::max(busy - own_tasks, 0);
+    last_report = {peer_tasks, now};
 }
 
 void occupancy_estimate::note_length(double seconds)
 {
-    mean_seconds_ += length_weight * (seconds - mean_seconds_);
-    mean_seconds_ = std::max(mean_seconds_, least_mean);
+    mean_seconds_ += mean_weight * (seconds - mean_seconds_);
+    mean_seconds_ = std::max(mean_seconds_, min_mean_seconds);
 }
 
 void occupancy_estimate::apply(std::vector<runner_view>& views,
@@ -39,26 +39,28 @@
 {
     if (views.empty())
         return;
-    double weighted = 0;
-    double weight = doubt * static_cast<double>(views.size());
-    const auto trust_in = [&](const report_state& known)
+    double weighted_sum = 0;
+    double total_weight = idle_prior_weight * static_cast<double>(views.size());
+    const auto confidence_in = [&](const report_state& last_report)
     {
         const double age =
-            std::chrono::duration<double>(now - known.at).count();
+            std::chrono::duration<double>(now - last_report.received_at)
+                .count();
         return std::exp(-age / mean_seconds_);
     };
-    for (const auto& known : runners_)
+    for (const auto& last_report : runners_)
     {
-        const double trust = trust_in(known);
-        weighted += trust * known.others;
-        weight += trust;
+        const double confidence = confidence_in(last_report);
+        weighted_sum += confidence * last_report.peer_tasks;
+        total_weight += confidence;
     }
-    const double mean = weighted / weight;
+    const double mean_tasks = weighted_sum / total_weight;
     for (std::size_t i = 0; i < views.size(); ++i)
     {
-        const auto& known = runners_[i];
-        const double trust = trust_in(known);
-        views[i].others = known.others * trust + mean * (1 - trust);
+        const auto& last_report = runners_[i];
+        const double confidence = confidence_in(last_report);
+        views[i].peer_tasks =
+            last_report.peer_tasks * confidence + mean_tasks * (1 - confidence);
     }
 }
 
--- a/src/glenhollow/decision/occupancy.hpp
+++ b/src/glenhollow/decision/occupancy.hpp
@@ -27,7 +27,7 @@
     /// @param busy Tasks running and queued there.
     /// @param own Of them, ours.
     /// @param now The time.
-    void report(runner_index runner, std::int32_t busy, std::int32_t own,
+    void report(runner_index runner, std::int32_t busy, std::int32_t own_tasks,
                 instant now);
 
     /// @param seconds Time a task took.
@@ -42,8 +42,8 @@
     /// The last report of a runner.
     struct report_state
     {
-        double others = 0; ///< Tasks of other entries.
-        instant at{};      ///< When it came.
+        double peer_tasks = 0; ///< Tasks of other entries.
+        instant received_at{}; ///< When it came.
     };
 
     std::vector<report_state> runners_; ///< By index.
--- a/src/glenhollow/decision/placement.cpp
+++ b/src/glenhollow/decision/placement.cpp
@@ -26,7 +26,8 @@
     }
 }
 
-runner_index draw(const std::vector<runner_index>& from, random_engine& random)
+runner_index pick_uniform(const std::vector<runner_index>& from,
+                          random_engine& random)
 {
     return from[std::uniform_int_distribution<std::size_t>(0, from.size() -
                                                                   1)(random)];
@@ -42,7 +43,7 @@
         collect_usable(request, usable_);
         if (usable_.empty())
             return {std::nullopt, reason::no_runner};
-        return {draw(usable_, random), reason::random_choice};
+        return {pick_uniform(usable_, random), reason::random_choice};
     }
 
     std::vector<runner_index> usable_; ///< Reused between calls.
@@ -58,14 +59,14 @@
         collect_usable(request, usable_);
         if (usable_.empty())
             return {std::nullopt, reason::no_runner};
-        const auto first = draw(usable_, random);
-        const auto second = draw(usable_, random);
-        const bool take_second =
-            fill(request.runners[second]) < fill(request.runners[first]);
+        const auto first = pick_uniform(usable_, random);
+        const auto second = pick_uniform(usable_, random);
+        const bool take_second = load_ratio(request.runners[second]) <
+                                 load_ratio(request.runners[first]);
         return {take_second ? second : first, reason::two_choices};
     }
 
-    static double fill(const runner_view& view)
+    static double load_ratio(const runner_view& view)
     {
         return view.occupancy() / view.effective_slots();
     }
@@ -84,7 +85,7 @@
         if (usable_.empty())
             return {std::nullopt, reason::no_runner};
         // A random first candidate, so that equal ones share the work.
-        auto best = draw(usable_, random);
+        auto best = pick_uniform(usable_, random);
         for (const auto index : usable_)
         {
             if (request.runners[index].outstanding <
@@ -111,26 +112,27 @@
     placement_choice pick(const placement_request& request,
                           random_engine& random) override
     {
-        const auto sum = survey(request);
-        if (sum.usable == 0)
+        const auto totals = sum_usable(request);
+        if (totals.usable == 0)
             return {std::nullopt, reason::no_runner};
         // Long tasks leave a share of all slots to the short ones.
-        const double reserve = settings_.short_reserve * sum.slots;
-        if (request.long_task && sum.free <= reserve && sum.outstanding > 0)
+        const double reserve = settings_.short_reserve * totals.slots;
+        if (request.long_task && totals.free <= reserve &&
+            totals.outstanding > 0)
             return {std::nullopt, reason::none};
-        if (const auto own = most_free(request, true, random))
-            return {own, reason::free_slot};
-        if (const auto other = most_free(request, false, random))
-            return {other, reason::free_slot};
+        if (const auto own_hall_runner = most_free(request, true, random))
+            return {own_hall_runner, reason::free_slot};
+        if (const auto other_hall_runner = most_free(request, false, random))
+            return {other_hall_runner, reason::free_slot};
         // With nothing of ours out there, no answer would tell of a slot that
         // becomes free, so the least loaded runner gets the task to queue.
-        if (sum.outstanding > 0)
+        if (totals.outstanding > 0)
             return {std::nullopt, reason::none};
         return {least_loaded(request), reason::least_outstanding};
     }
 
     /// Totals over the usable runners.
-    struct survey_result
+    struct usable_totals
     {
         std::int32_t usable = 0;      ///< Runners that may get a task.
         double slots = 0;             ///< Of those.
@@ -138,20 +140,20 @@
         std::int32_t outstanding = 0; ///< Our tasks there.
     };
 
-    static survey_result survey(const placement_request& request)
+    static usable_totals sum_usable(const placement_request& request)
     {
-        survey_result sum;
+        usable_totals totals;
         for (runner_index i = 0; i < request.runners.size(); ++i)
         {
             const auto& view = request.runners[i];
             if (!view.usable() || is_avoided(request.avoid, i))
                 continue;
-            ++sum.usable;
-            sum.slots += view.effective_slots();
-            sum.free += std::max(view.free_slots(), 0.0);
-            sum.outstanding += view.outstanding;
+            ++totals.usable;
+            totals.slots += view.effective_slots();
+            totals.free += std::max(view.free_slots(), 0.0);
+            totals.outstanding += view.outstanding;
         }
-        return sum;
+        return totals;
     }
 
     /// The runner with the largest free share in or outside the own hall.
@@ -166,7 +168,7 @@
         {
             const auto& view = request.runners[i];
             if (view.own_hall != own_hall || !view.usable() ||
-                view.free_slots() < least_free - settings_.overcommit ||
+                view.free_slots() < min_free_slots - settings_.overcommit ||
                 is_avoided(request.avoid, i))
                 continue;
             // Another hall is worth its delay only to a task that has waited
@@ -204,7 +206,7 @@
     }
 
     /// A slot counts as free when the estimate says so by half at least.
-    static constexpr double least_free = 0.5;
+    static constexpr double min_free_slots = 0.5;
 
     placement_settings settings_; ///< Limits.
 };
@@ -218,9 +220,9 @@
     if (choice.runner || choice.why != reason::no_runner ||
         request.avoid.empty())
         return choice;
-    auto again = request;
-    again.avoid = {};
-    return pick(again, random);
+    auto without_avoid = request;
+    without_avoid.avoid = {};
+    return pick(without_avoid, random);
 }
 
 std::unique_ptr<placement> placement::create(placement_kind kind,
--- a/src/glenhollow/decision/queue_order.cpp
+++ b/src/glenhollow/decision/queue_order.cpp
@@ -8,31 +8,31 @@
 namespace
 {
 
-double in_seconds(instant time)
+double to_seconds(instant time)
 {
     return std::chrono::duration<double>(time).count();
 }
 
 /// Work of a task whose length nobody knows yet, s.
-constexpr double assumed_task_seconds = 0.3;
+constexpr double default_task_seconds = 0.3;
 
 } // namespace
 
-double job_queue::key_of(const queued_job& job) const
+double job_queue::sort_key(const queued_job& job) const
 {
     switch (settings_.order)
     {
     case queue_order_kind::first_come:
-        return in_seconds(job.arrived);
+        return to_seconds(job.arrived);
     case queue_order_kind::earliest_deadline:
-        return in_seconds(job.deadline);
+        return to_seconds(job.deadline);
     case queue_order_kind::least_work:
         break;
     }
-    const double task =
-        job.seconds_per_task > 0 ? job.seconds_per_task : assumed_task_seconds;
-    return static_cast<double>(job.tasks_left) * task +
-           settings_.aging * in_seconds(job.arrived);
+    const double task_seconds =
+        job.seconds_per_task > 0 ? job.seconds_per_task : default_task_seconds;
+    return static_cast<double>(job.tasks_left) * task_seconds +
+           settings_.aging * to_seconds(job.arrived);
 }
 
 void job_queue::insert(const queued_job& job)
@@ -40,33 +40,33 @@
     auto& team = teams_[job.team];
     // A team that was idle starts at the present, without credit.
     if (team.order.empty())
-        team.finish = std::max(team.finish, virtual_time_);
-    team.order.insert({key_of(job), job.sequence});
+        team.virtual_finish = std::max(team.virtual_finish, virtual_time_);
+    team.order.insert({sort_key(job), job.sequence});
 }
 
-void job_queue::erase_place(const queued_job& job)
+void job_queue::erase_position(const queued_job& job)
 {
-    teams_[job.team].order.erase({key_of(job), job.sequence});
+    teams_[job.team].order.erase({sort_key(job), job.sequence});
 }
 
 void job_queue::push(const queued_job& job)
 {
     jobs_.emplace(job.sequence, job);
-    tasks_ += job.tasks_left;
-    seconds_ += static_cast<double>(job.tasks_left) * job.seconds_per_task;
+    task_count_ += job.tasks_left;
+    work_seconds_ += static_cast<double>(job.tasks_left) * job.seconds_per_task;
     insert(job);
 }
 
-void job_queue::demote(const queued_job& job)
+void job_queue::requeue_task(const queued_job& job)
 {
-    const auto known = jobs_.find(job.sequence);
-    if (known == jobs_.end())
+    const auto found = jobs_.find(job.sequence);
+    if (found == jobs_.end())
         return push(job);
-    erase_place(known->second);
-    ++known->second.tasks_left;
-    ++tasks_;
-    seconds_ += known->second.seconds_per_task;
-    insert(known->second);
+    erase_position(found->second);
+    ++found->second.tasks_left;
+    ++task_count_;
+    work_seconds_ += found->second.seconds_per_task;
+    insert(found->second);
 }
 
 std::optional<std::uint64_t> job_queue::front() const
@@ -74,7 +74,8 @@
     const team_queue* best = nullptr;
     for (const auto& [name, team] : teams_)
     {
-        if (!team.order.empty() && (!best || team.finish < best->finish))
+        if (!team.order.empty() &&
+            (!best || team.virtual_finish < best->virtual_finish))
             best = &team;
     }
     if (!best)
@@ -86,32 +87,32 @@
 {
     auto& job = jobs_.at(sequence);
     auto& team = teams_[job.team];
-    erase_place(job);
-    virtual_time_ = std::max(virtual_time_, team.finish);
-    team.finish += 1.0 / team.weight;
+    erase_position(job);
+    virtual_time_ = std::max(virtual_time_, team.virtual_finish);
+    team.virtual_finish += 1.0 / team.weight;
     --job.tasks_left;
-    --tasks_;
-    seconds_ -= job.seconds_per_task;
+    --task_count_;
+    work_seconds_ -= job.seconds_per_task;
     if (job.tasks_left > 0)
     {
-        team.order.insert({key_of(job), sequence});
+        team.order.insert({sort_key(job), sequence});
         return;
     }
     jobs_.erase(sequence);
     if (jobs_.empty())
-        seconds_ = 0;
+        work_seconds_ = 0;
 }
 
 void job_queue::remove(std::uint64_t sequence)
 {
-    const auto known = jobs_.find(sequence);
-    if (known == jobs_.end())
+    const auto found = jobs_.find(sequence);
+    if (found == jobs_.end())
         return;
-    const auto& job = known->second;
-    erase_place(job);
-    tasks_ -= job.tasks_left;
-    seconds_ -= static_cast<double>(job.tasks_left) * job.seconds_per_task;
-    jobs_.erase(known);
+    const auto& job = found->second;
+    erase_position(job);
+    task_count_ -= job.tasks_left;
+    work_seconds_ -= static_cast<double>(job.tasks_left) * job.seconds_per_task;
+    jobs_.erase(found);
 }
 
 void job_queue::apply(const job_queue_settings& settings)
@@ -122,7 +123,7 @@
     for (auto& [name, team] : teams_)
         team.order.clear();
     for (const auto& [sequence, job] : jobs_)
-        teams_[job.team].order.insert({key_of(job), sequence});
+        teams_[job.team].order.insert({sort_key(job), sequence});
 }
 
 void job_queue::set_weight(const std::string& team, double weight)
--- a/src/glenhollow/decision/queue_order.hpp
+++ b/src/glenhollow/decision/queue_order.hpp
@@ -73,7 +73,7 @@
 
     /// Puts a task of a job back, such as one that was refused not_run.
     /// @param job The job as it was pushed; its tasks_left is 1.
-    void demote(const queued_job& job);
+    void requeue_task(const queued_job& job);
 
     /// @param sequence A job that may be in the queue; all of it is taken out.
     void remove(std::uint64_t sequence);
@@ -87,42 +87,42 @@
     void set_weight(const std::string& team, double weight);
 
     /// @return Tasks in the queue.
-    std::size_t tasks() const { return tasks_; }
+    std::size_t tasks() const { return task_count_; }
 
     /// @return Expected seconds of work in the queue.
-    double seconds_of_work() const { return seconds_; }
+    double seconds_of_work() const { return work_seconds_; }
 
     /// @return Whether no job is in the queue.
     bool empty() const { return jobs_.empty(); }
 
 private:
     /// A job's place in its team.
-    struct place
+    struct queue_position
     {
         double key = 0;             ///< Smaller goes first.
         std::uint64_t sequence = 0; ///< Breaks ties.
 
-        auto operator<=>(const place&) const = default;
+        auto operator<=>(const queue_position&) const = default;
     };
 
     /// The jobs of one team.
     struct team_queue
     {
-        double weight = 1;     ///< Share against other teams.
-        double finish = 0;     ///< Virtual time when its last task ends.
-        std::set<place> order; ///< Its jobs.
+        double weight = 1;         ///< Share against other teams.
+        double virtual_finish = 0; ///< Virtual time when its last task ends.
+        std::set<queue_position> order; ///< Its jobs.
     };
 
-    double key_of(const queued_job& job) const;
+    double sort_key(const queued_job& job) const;
     void insert(const queued_job& job);
-    void erase_place(const queued_job& job);
+    void erase_position(const queued_job& job);
 
     job_queue_settings settings_;              ///< Limits.
     std::map<std::uint64_t, queued_job> jobs_; ///< By sequence.
     std::map<std::string, team_queue> teams_;  ///< By name.
     double virtual_time_ = 0;                  ///< Of the last task taken.
-    std::size_t tasks_ = 0;                    ///< In the queue.
-    double seconds_ = 0;                       ///< Expected work.
+    std::size_t task_count_ = 0;               ///< In the queue.
+    double work_seconds_ = 0;                  ///< Expected work.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/decision/retry_budget.cpp
+++ b/src/glenhollow/decision/retry_budget.cpp
@@ -5,33 +5,34 @@
 namespace glenhollow
 {
 
-void retry_budget::earn(const std::string& team, std::size_t tasks)
+void retry_budget::deposit(const std::string& team, std::size_t tasks)
 {
-    auto [entry, fresh] = budget_.try_emplace(team, settings_.at_first);
-    entry->second =
-        std::min(settings_.most_saved,
-                 entry->second + settings_.share * static_cast<double>(tasks));
+    auto [team_budget, inserted] =
+        budget_.try_emplace(team, settings_.initial_budget);
+    team_budget->second = std::min(
+        settings_.max_budget,
+        team_budget->second + settings_.share * static_cast<double>(tasks));
 }
 
-bool retry_budget::spend(const std::string& team, std::size_t attempts)
+bool retry_budget::try_withdraw(const std::string& team, std::size_t attempts)
 {
     if (attempts >= settings_.attempts)
         return false;
-    auto [entry, fresh] = budget_.try_emplace(team, settings_.at_first);
-    if (entry->second < 1.0)
+    auto [team_budget, inserted] =
+        budget_.try_emplace(team, settings_.initial_budget);
+    if (team_budget->second < 1.0)
         return false;
-    entry->second -= 1.0;
+    team_budget->second -= 1.0;
     return true;
 }
 
 duration retry_budget::backoff(std::size_t attempts,
                                random_engine& random) const
 {
-    auto bound = settings_.first_backoff;
-    for (std::size_t i = 1; i < attempts && bound < settings_.longest_backoff;
-         ++i)
+    auto bound = settings_.initial_backoff;
+    for (std::size_t i = 1; i < attempts && bound < settings_.max_backoff; ++i)
         bound *= 2;
-    bound = std::min(bound, settings_.longest_backoff);
+    bound = std::min(bound, settings_.max_backoff);
     return std::chrono::duration_cast<duration>(bound * uniform(random));
 }
 
--- a/src/glenhollow/decision/retry_budget.hpp
+++ b/src/glenhollow/decision/retry_budget.hpp
@@ -14,12 +14,12 @@
 /// Limits of retries.
 struct retry_settings
 {
-    double share = 0.1;       ///< Retries allowed per fresh task.
-    double most_saved = 100;  ///< Budget saved up, retries.
-    double at_first = 10;     ///< Budget of a team that is new, retries.
-    std::size_t attempts = 5; ///< Of one task, the first included.
-    duration first_backoff = milliseconds{5};     ///< Doubles each time.
-    duration longest_backoff = milliseconds{200}; ///< The doubling ends here.
+    double share = 0.1;         ///< Retries allowed per fresh task.
+    double max_budget = 100;    ///< Budget saved up, retries.
+    double initial_budget = 10; ///< Budget of a team that is new, retries.
+    std::size_t attempts = 5;   ///< Of one task, the first included.
+    duration initial_backoff = milliseconds{5}; ///< Doubles each time.
+    duration max_backoff = milliseconds{200};   ///< The doubling ends here.
 };
 
 /// Retries of each team, bounded by a share of its fresh work, so that a
@@ -38,12 +38,12 @@
     /// Earns budget from fresh work.
     /// @param team Whose it is.
     /// @param tasks Fresh tasks admitted.
-    void earn(const std::string& team, std::size_t tasks);
+    void deposit(const std::string& team, std::size_t tasks);
 
     /// @param team Whose task is to be retried.
     /// @param attempts Attempts made so far.
     /// @return Whether one more attempt is allowed; it is paid for then.
-    bool spend(const std::string& team, std::size_t attempts);
+    bool try_withdraw(const std::string& team, std::size_t attempts);
 
     /// @param attempts Attempts made so far, 1 or more.
     /// @param random Draws the jitter.
--- a/src/glenhollow/decision/runner_view.hpp
+++ b/src/glenhollow/decision/runner_view.hpp
@@ -22,7 +22,7 @@
     bool own_hall = true;         ///< It stands in the entry's hall.
     std::int32_t slots = 0;       ///< Tasks it can run at once.
     std::int32_t outstanding = 0; ///< Our own starts without an end.
-    double others = 0;            ///< Tasks of other entries, estimated.
+    double peer_tasks = 0;        ///< Tasks of other entries, estimated.
     double speed = 1.0;           ///< Below 1: slower than its siblings.
     duration delay{}; ///< Measured time of a message there and back.
 
@@ -41,7 +41,7 @@
     }
 
     /// @return Tasks believed to be there.
-    double occupancy() const { return outstanding + others; }
+    double occupancy() const { return outstanding + peer_tasks; }
 
     /// @return Slots believed to be free; negative when tasks wait there.
     double free_slots() const { return effective_slots() - occupancy(); }
--- a/src/glenhollow/decision/team_quota.cpp
+++ b/src/glenhollow/decision/team_quota.cpp
@@ -14,45 +14,47 @@
 
 /// Demand that every entry is taken to have, so that a share is never 0 and a
 /// first request somewhere is not refused for want of history; tasks a second.
-constexpr double least_demand = 0.5;
+constexpr double min_demand = 0.5;
 
 /// Below this demand a team is forgotten, tasks a second.
-constexpr double idle_rate = 1e-6;
+constexpr double idle_demand = 1e-6;
 
 } // namespace
 
 void demand_meter::add(double tasks, instant now)
 {
-    level_ = rate(now) * smoothing_seconds + tasks;
-    last_ = now;
+    decayed_sum_ = rate(now) * smoothing_seconds + tasks;
+    last_update_ = now;
 }
 
 double demand_meter::rate(instant now) const
 {
-    const double passed = std::chrono::duration<double>(now - last_).count();
-    return level_ * std::exp(-passed / smoothing_seconds) / smoothing_seconds;
+    const double elapsed_seconds =
+        std::chrono::duration<double>(now - last_update_).count();
+    return decayed_sum_ * std::exp(-elapsed_seconds / smoothing_seconds) /
+           smoothing_seconds;
 }
 
-double quota_floor(double quota, std::size_t entries)
+double demand_floor(double quota, std::size_t entries)
 {
-    constexpr double part = 0.5;
-    return std::max(least_demand,
-                    part * quota /
+    constexpr double floor_share = 0.5;
+    return std::max(min_demand,
+                    floor_share * quota /
                         static_cast<double>(std::max<std::size_t>(entries, 1)));
 }
 
-double quota_share(double own, const std::vector<double>& others,
+double quota_share(double own_demand, const std::vector<double>& peer_demands,
                    std::size_t entries, double floor)
 {
-    double total = std::max(own, floor);
-    std::size_t silent = std::max<std::size_t>(entries, 1) - 1;
-    for (const double demand : others)
+    double total = std::max(own_demand, floor);
+    std::size_t unreported_entries = std::max<std::size_t>(entries, 1) - 1;
+    for (const double demand : peer_demands)
     {
         total += std::max(demand, floor);
-        silent -= silent > 0 ? 1 : 0;
+        unreported_entries -= unreported_entries > 0 ? 1 : 0;
     }
-    total += floor * static_cast<double>(silent);
-    return std::max(own, floor) / total;
+    total += floor * static_cast<double>(unreported_entries);
+    return std::max(own_demand, floor) / total;
 }
 
 void team_quota::set_quota(const std::string& team, std::optional<double> quota)
@@ -70,18 +72,19 @@
 
 std::optional<double> team_quota::quota_of(const std::string& team) const
 {
-    const auto own = quotas_.find(team);
-    return own != quotas_.end() ? std::optional(own->second) : default_;
+    const auto own_demand = quotas_.find(team);
+    return own_demand != quotas_.end() ? std::optional(own_demand->second)
+                                       : default_quota_;
 }
 
 double team_quota::share_of(const std::string& team) const
 {
-    const auto own = shares_.find(team);
-    return own != shares_.end() ? own->second : default_share_;
+    const auto own_demand = shares_.find(team);
+    return own_demand != shares_.end() ? own_demand->second : default_share_;
 }
 
-std::optional<duration> team_quota::ask(const std::string& team, double tasks,
-                                        instant now)
+std::optional<duration> team_quota::try_acquire(const std::string& team,
+                                                double tasks, instant now)
 {
     const auto quota = quota_of(team);
     if (!quota)
@@ -89,10 +92,10 @@
     auto& state = teams_[team];
     state.demand.add(tasks, now);
     const double rate = *quota * share_of(team);
-    if (rate != state.in_force)
+    if (rate != state.configured_rate)
     {
         state.bucket.configure(rate, rate * settings_.burst_seconds, now);
-        state.in_force = rate;
+        state.configured_rate = rate;
     }
     if (state.bucket.take(tasks, now))
     {
@@ -104,26 +107,26 @@
 
 double team_quota::in_use(const std::string& team, instant now) const
 {
-    const auto known = teams_.find(team);
-    return known == teams_.end() ? 0 : known->second.granted.rate(now);
+    const auto found = teams_.find(team);
+    return found == teams_.end() ? 0 : found->second.granted.rate(now);
 }
 
-void team_quota::forget_idle(instant now)
+void team_quota::remove_idle_teams(instant now)
 {
-    std::erase_if(teams_, [now](const auto& one)
-                  { return one.second.demand.rate(now) < idle_rate; });
+    std::erase_if(teams_, [now](const auto& item)
+                  { return item.second.demand.rate(now) < idle_demand; });
 }
 
 std::vector<std::pair<std::string, double>>
 team_quota::demand(instant now) const
 {
-    std::vector<std::pair<std::string, double>> all;
+    std::vector<std::pair<std::string, double>> rates;
     for (const auto& [team, state] : teams_)
     {
         if (quota_of(team))
-            all.emplace_back(team, state.demand.rate(now));
+            rates.emplace_back(team, state.demand.rate(now));
     }
-    return all;
+    return rates;
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/decision/team_quota.hpp
+++ b/src/glenhollow/decision/team_quota.hpp
@@ -27,8 +27,8 @@
     double rate(instant now) const;
 
 private:
-    double level_ = 0; ///< Decaying sum.
-    instant last_{};   ///< Time of the last change.
+    double decayed_sum_ = 0; ///< Decaying sum.
+    instant last_update_{};  ///< Time of the last change.
 };
 
 /// The part of a quota that falls to one entry.
@@ -39,7 +39,7 @@
 /// second; entries that report nothing count with it.
 /// @return A share in 0..1; the shares of entries that see the same demand
 /// sum to 1.
-double quota_share(double own, const std::vector<double>& others,
+double quota_share(double own_demand, const std::vector<double>& peer_demands,
                    std::size_t entries, double floor);
 
 /// Demand below which an entry says nothing of a team: half of an equal part
@@ -47,7 +47,7 @@
 /// @param quota Of the team, tasks a second.
 /// @param entries Entries in all.
 /// @return The demand, tasks a second.
-double quota_floor(double quota, std::size_t entries);
+double demand_floor(double quota, std::size_t entries);
 
 /// Limits of quotas.
 struct team_quota_settings
@@ -74,7 +74,7 @@
     void set_quota(const std::string& team, std::optional<double> quota);
 
     /// @param quota Of teams without one of their own, or nothing.
-    void set_default(std::optional<double> quota) { default_ = quota; }
+    void set_default(std::optional<double> quota) { default_quota_ = quota; }
 
     /// Forgets all quotas; shares and demand are kept.
     void clear_quotas() { quotas_.clear(); }
@@ -91,8 +91,8 @@
     /// @param tasks How many.
     /// @param now The time.
     /// @return Nothing when granted, or how long until they would be.
-    std::optional<duration> ask(const std::string& team, double tasks,
-                                instant now);
+    std::optional<duration> try_acquire(const std::string& team, double tasks,
+                                        instant now);
 
     /// @param now The time.
     /// @return The demand of each team with a quota, tasks a second.
@@ -106,7 +106,7 @@
     /// Forgets teams that have been idle for long; their names come from
     /// callers.
     /// @param now The time.
-    void forget_idle(instant now);
+    void remove_idle_teams(instant now);
 
     /// @param team A team.
     /// @return Its quota over all entries, or nothing for no limit.
@@ -116,16 +116,16 @@
     /// What is known of a team.
     struct team_state
     {
-        token_bucket bucket;  ///< Of starts granted here.
-        demand_meter demand;  ///< Of starts asked for here.
-        demand_meter granted; ///< Of starts granted here.
-        double in_force = -1; ///< Rate that the bucket was set to.
+        token_bucket bucket;         ///< Of starts granted here.
+        demand_meter demand;         ///< Of starts asked for here.
+        demand_meter granted;        ///< Of starts granted here.
+        double configured_rate = -1; ///< Rate that the bucket was set to.
     };
 
     double share_of(const std::string& team) const;
 
     team_quota_settings settings_;            ///< Limits.
-    std::optional<double> default_;           ///< Quota without a row.
+    std::optional<double> default_quota_;     ///< Quota without a row.
     double default_share_ = 1;                ///< Share without a row.
     std::map<std::string, double> quotas_;    ///< By team, tasks a second.
     std::map<std::string, double> shares_;    ///< By team.
--- a/src/glenhollow/decision/token_bucket.hpp
+++ b/src/glenhollow/decision/token_bucket.hpp
@@ -18,11 +18,11 @@
     /// @param now The time.
     void configure(double rate, double burst, instant now)
     {
-        const bool fresh = burst_ < 0;
+        const bool unconfigured = burst_ < 0;
         refill(now);
         rate_ = rate;
         burst_ = burst;
-        tokens_ = fresh ? burst : std::min(tokens_, burst);
+        tokens_ = unconfigured ? burst : std::min(tokens_, burst);
     }
 
     /// @param count Tokens wanted.
@@ -59,17 +59,17 @@
 private:
     void refill(instant now)
     {
-        const double passed =
-            std::chrono::duration<double>(now - last_).count();
-        last_ = now;
-        if (passed > 0 && burst_ >= 0)
-            tokens_ = std::min(burst_, tokens_ + passed * rate_);
+        const double elapsed_seconds =
+            std::chrono::duration<double>(now - last_refill_).count();
+        last_refill_ = now;
+        if (elapsed_seconds > 0 && burst_ >= 0)
+            tokens_ = std::min(burst_, tokens_ + elapsed_seconds * rate_);
     }
 
-    double rate_ = 0;   ///< Tokens a second.
-    double burst_ = -1; ///< Most tokens; negative until configured.
-    double tokens_ = 0; ///< There now.
-    instant last_{};    ///< Time of the last refill.
+    double rate_ = 0;       ///< Tokens a second.
+    double burst_ = -1;     ///< Most tokens; negative until configured.
+    double tokens_ = 0;     ///< There now.
+    instant last_refill_{}; ///< Time of the last refill.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/control_plane.cpp
+++ b/src/glenhollow/entry/control_plane.cpp
@@ -365,7 +365,7 @@
             const std::size_t entries = peers_.reachable().size() + 1;
             for (const auto& [team, rate] : own)
             {
-                if (rate > quota_floor(quota_of(team), entries))
+                if (rate > demand_floor(quota_of(team), entries))
                     report.demand.push_back({team, rate});
             }
             peers_.set_own(report);
@@ -377,7 +377,7 @@
                 for (const auto& [team, rate] : all[i])
                 {
                     const auto known = others.find(team);
-                    const double floor = quota_floor(quota_of(team), entries);
+                    const double floor = demand_floor(quota_of(team), entries);
                     const double share = quota_share(own[team],
                                                      known == others.end()
                                                          ? std::vector<double>{}
--- a/src/glenhollow/entry/coordinator.cpp
+++ b/src/glenhollow/entry/coordinator.cpp
@@ -241,8 +241,8 @@
         // Slots that others fill are not ours to count on, but for our part
         // of them.
         const double slots = view.effective_slots();
-        state.slots_for_us +=
-            std::max(slots - view.others, slots / sharers_[i]);
+        state.available_slots +=
+            std::max(slots - view.peer_tasks, slots / sharers_[i]);
     }
     const auto decision = admit(state, settings_.admission, random_);
     if (!decision.admitted())
@@ -250,7 +250,7 @@
                            "the job was refused before any of it ran",
                            verdict::not_run, decision.retry_after};
 
-    const auto wait = quota_.ask(
+    const auto wait = quota_.try_acquire(
         request.team, static_cast<double>(request.payloads.size()), now);
     if (wait)
         return api_problem{
@@ -295,7 +295,7 @@
     ++stats_.admitted;
     stats_.tasks_admitted += owner.left;
     ++open_jobs_;
-    retries_.earn(owner.team, owner.left);
+    retries_.deposit(owner.team, owner.left);
     deadlines_.insert({owner.deadline, sequence});
     log(decision_kind::admitted, sequence,
         static_cast<std::uint32_t>(owner.left), 0, reason::none,
@@ -517,8 +517,8 @@
 void coordinator::note_health(runner_index runner, const task_end& end,
                               double expected)
 {
-    const auto change = health_.note(runner, end.end, end.run_micros * 1e-6,
-                                     expected, clock_.now());
+    const auto change = health_.record_outcome(
+        runner, end.end, end.run_micros * 1e-6, expected, clock_.now());
     health_.apply(runner, views_[runner]);
     if (change == health_change::none)
         return;
@@ -581,7 +581,7 @@
     }
     if (fenced_)
         return fail(owner, reason::fenced);
-    if (!retries_.spend(owner.team, tried.attempts))
+    if (!retries_.try_withdraw(owner.team, tried.attempts))
         return fail(owner, end.end.why == reason::none ? reason::retry_budget
                                                        : end.end.why);
     ++stats_.retried;
@@ -686,11 +686,11 @@
         auto& owner = *known->second;
         owner.tasks[key.task].at = task::stage::waiting;
         owner.waiting.push_back(key.task);
-        queue_of(owner).demote(queue_entry(owner, 1));
+        queue_of(owner).requeue_task(queue_entry(owner, 1));
     }
     for (runner_index i = 0; i < views_.size(); ++i)
     {
-        if (health_.revisit(i, now) == health_change::none)
+        if (health_.end_ejection_if_due(i, now) == health_change::none)
             continue;
         health_.apply(i, views_[i]);
         log(decision_kind::returned, 0, 0, i + 1, reason::outlier,
@@ -698,7 +698,7 @@
     }
     send_due_acks(now);
     drop_expired(now);
-    quota_.forget_idle(now);
+    quota_.remove_idle_teams(now);
     dispatch();
 }
 
--- a/tests/performance/decision_benchmark.cpp
+++ b/tests/performance/decision_benchmark.cpp
@@ -21,11 +21,11 @@
                    const std::function<void()>& decide)
 {
     using clock = std::chrono::steady_clock;
-    constexpr auto least = std::chrono::milliseconds(100);
+    constexpr auto min_duration = std::chrono::milliseconds(100);
     constexpr int batch = 64;
     const auto start = clock::now();
     std::uint64_t count = 0;
-    while (clock::now() - start < least)
+    while (clock::now() - start < min_duration)
     {
         for (int i = 0; i < batch; ++i)
             decide();
@@ -45,7 +45,7 @@
         view.connected = true;
         view.slots = 8;
         view.outstanding = static_cast<std::int32_t>(random() % 4);
-        view.others = static_cast<double>(random() % 5);
+        view.peer_tasks = static_cast<double>(random() % 5);
         view.own_hall = random() % 3 != 0;
     }
     return views;
@@ -115,7 +115,7 @@
     admission_request request;
     request.tasks = 20;
     request.deadline = seconds{5};
-    request.slots_for_us = 100;
+    request.available_slots = 100;
     request.usable_runners = 100;
     time_decision("admission", 1, [&] { admit(request, {}, random); });
     for (const std::size_t count : {1, 50, 290, 1000})
@@ -133,7 +133,7 @@
                       [&]
                       {
                           now += microseconds{1};
-                          quota.ask(teams[next++ % count], 1, now);
+                          quota.try_acquire(teams[next++ % count], 1, now);
                       });
     }
 }
--- a/tests/unit/decision/limits_tests.cpp
+++ b/tests/unit/decision/limits_tests.cpp
@@ -10,18 +10,18 @@
 namespace
 {
 
-admission_request ordinary()
+admission_request typical_request()
 {
     admission_request request;
     request.tasks = 10;
     request.deadline = seconds{5};
     request.seconds_per_task = 0.1;
-    request.slots_for_us = 10;
+    request.available_slots = 10;
     request.usable_runners = 2;
     return request;
 }
 
-reason judged(const admission_request& request)
+reason refusal_reason(const admission_request& request)
 {
     random_engine random(1);
     return admit(request, {}, random).why;
@@ -31,46 +31,46 @@
 
 TEST_CASE("admission refuses what cannot meet its deadline, at once")
 {
-    auto request = ordinary();
-    REQUIRE(judged(request) == reason::none);
+    auto request = typical_request();
+    REQUIRE(refusal_reason(request) == reason::none);
     request.queued_seconds = 50;
-    REQUIRE(judged(request) == reason::deadline_unreachable);
+    REQUIRE(refusal_reason(request) == reason::deadline_unreachable);
     request.deadline = seconds{6};
-    REQUIRE(judged(request) == reason::none);
+    REQUIRE(refusal_reason(request) == reason::none);
     request.seconds_per_task = 6;
-    REQUIRE(judged(request) == reason::deadline_unreachable);
+    REQUIRE(refusal_reason(request) == reason::deadline_unreachable);
 }
 
 TEST_CASE("admission refuses beyond each bound")
 {
-    auto request = ordinary();
+    auto request = typical_request();
     request.queued_tasks = 50'000;
-    REQUIRE(judged(request) == reason::queue_full);
-    request = ordinary();
+    REQUIRE(refusal_reason(request) == reason::queue_full);
+    request = typical_request();
     request.jobs = 20'000;
-    REQUIRE(judged(request) == reason::queue_full);
-    request = ordinary();
+    REQUIRE(refusal_reason(request) == reason::queue_full);
+    request = typical_request();
     request.kept_bytes = 48UL << 20;
-    REQUIRE(judged(request) == reason::kept_answers_full);
-    request = ordinary();
+    REQUIRE(refusal_reason(request) == reason::kept_answers_full);
+    request = typical_request();
     request.usable_runners = 0;
-    REQUIRE(judged(request) == reason::no_runner);
+    REQUIRE(refusal_reason(request) == reason::no_runner);
 }
 
 TEST_CASE("Retry-After is jittered between the wait and twice that")
 {
     random_engine random(3);
-    duration least = seconds{100};
-    duration most{};
+    duration shortest = seconds{100};
+    duration longest{};
     for (int i = 0; i < 500; ++i)
     {
         const auto wait = jittered_retry_after(seconds{4}, {}, random);
-        least = std::min(least, wait);
-        most = std::max(most, wait);
+        shortest = std::min(shortest, wait);
+        longest = std::max(longest, wait);
     }
-    REQUIRE(least >= seconds{4});
-    REQUIRE(most <= seconds{8});
-    REQUIRE(most - least > seconds{3});
+    REQUIRE(shortest >= seconds{4});
+    REQUIRE(longest <= seconds{8});
+    REQUIRE(longest - shortest > seconds{3});
 }
 
 TEST_CASE("a bucket gives its rate over time and its burst at once")
@@ -78,18 +78,18 @@
     token_bucket bucket;
     instant now = seconds{100};
     bucket.configure(10, 5, now);
-    int given = 0;
+    int taken = 0;
     while (bucket.take(1, now))
-        ++given;
-    REQUIRE(given == 5);
+        ++taken;
+    REQUIRE(taken == 5);
     REQUIRE(bucket.wait_for(1) == milliseconds{100});
     for (int i = 0; i < 1000; ++i)
     {
         now += milliseconds{10};
-        given += bucket.take(1, now) ? 1 : 0;
+        taken += bucket.take(1, now) ? 1 : 0;
     }
-    REQUIRE(given >= 104);
-    REQUIRE(given <= 105);
+    REQUIRE(taken >= 104);
+    REQUIRE(taken <= 105);
 }
 
 TEST_CASE("a job larger than the burst is granted and paid for later")
@@ -106,16 +106,17 @@
     retry_settings settings;
     retry_budget budget(settings);
     std::size_t retries = 0;
-    constexpr std::size_t fresh = 10'000;
+    constexpr std::size_t admitted_tasks = 10'000;
     // Every single attempt is refused: the worst storm there can be.
-    for (std::size_t i = 0; i < fresh; ++i)
+    for (std::size_t i = 0; i < admitted_tasks; ++i)
     {
-        budget.earn("t", 1);
-        for (std::size_t attempt = 1; budget.spend("t", attempt); ++attempt)
+        budget.deposit("t", 1);
+        for (std::size_t attempt = 1; budget.try_withdraw("t", attempt);
+             ++attempt)
             ++retries;
     }
     REQUIRE(static_cast<double>(retries) <=
-            settings.share * fresh + settings.at_first);
+            settings.share * admitted_tasks + settings.initial_budget);
     REQUIRE(retries > 900);
 }
 
@@ -148,7 +149,7 @@
     REQUIRE(quota_share(0, {100}, 2, 5) == Approx(5.0 / 105));
     // Entries that say nothing count with the floor.
     REQUIRE(quota_share(20, {}, 3, 5) == Approx(20.0 / 30));
-    REQUIRE(quota_floor(90, 3) == Approx(15));
+    REQUIRE(demand_floor(90, 3) == Approx(15));
 }
 
 TEST_CASE("grants over all entries stay within 5% of the quota as demand "
@@ -158,32 +159,32 @@
     constexpr std::size_t entries = 3;
     std::vector<team_quota> quotas(entries, team_quota{{}});
     instant now = seconds{1000};
-    for (auto& one : quotas)
-        one.set_quota("t", quota);
+    for (auto& entry_quota : quotas)
+        entry_quota.set_quota("t", quota);
     double granted = 0;
-    constexpr int seconds_long = 40;
+    constexpr int simulated_seconds = 40;
     constexpr int steps_per_second = 100;
-    for (int step = 0; step < seconds_long * steps_per_second; ++step)
+    for (int step = 0; step < simulated_seconds * steps_per_second; ++step)
     {
         now += milliseconds{10};
         // Twice the quota is asked for; every 10 s most of it moves on.
-        const std::size_t hot =
+        const std::size_t busiest_entry =
             static_cast<std::size_t>(step / (10 * steps_per_second)) % entries;
         for (std::size_t i = 0; i < entries; ++i)
         {
-            const int asks = i == hot ? 18 : 1;
-            for (int ask = 0; ask < asks; ++ask)
-                granted += quotas[i].ask("t", 1, now) ? 0 : 1;
+            const int asks = i == busiest_entry ? 18 : 1;
+            for (int try_acquire = 0; try_acquire < asks; ++try_acquire)
+                granted += quotas[i].try_acquire("t", 1, now) ? 0 : 1;
         }
         // Entries tell each other their demand every 500 ms.
         if (step % 50 != 0)
             continue;
         std::vector<double> demand;
-        const double floor = quota_floor(quota, entries);
-        for (const auto& one : quotas)
+        const double floor = demand_floor(quota, entries);
+        for (const auto& entry_quota : quotas)
         {
             // Demand below the floor is not told.
-            const double rate = one.demand(now).front().second;
+            const double rate = entry_quota.demand(now).front().second;
             demand.push_back(rate > floor ? rate : 0);
         }
         for (std::size_t i = 0; i < entries; ++i)
@@ -194,7 +195,7 @@
             quotas[i].set_share("t", quota_share(own, others, entries, floor));
         }
     }
-    const double per_second = granted / seconds_long;
+    const double per_second = granted / simulated_seconds;
     INFO(per_second);
     REQUIRE(per_second < quota * 1.05);
     REQUIRE(per_second > quota * 0.9);
--- a/tests/unit/decision/placement_tests.cpp
+++ b/tests/unit/decision/placement_tests.cpp
@@ -9,13 +9,13 @@
 
 runner_view view(std::int32_t slots, std::int32_t busy, bool own_hall = true)
 {
-    runner_view made;
-    made.connected = true;
-    made.slots = slots;
-    made.others = busy - 1;
-    made.own_hall = own_hall;
-    made.outstanding = 1;
-    return made;
+    runner_view result;
+    result.connected = true;
+    result.slots = slots;
+    result.peer_tasks = busy - 1;
+    result.own_hall = own_hall;
+    result.outstanding = 1;
+    return result;
 }
 
 placement_choice choose(placement_kind kind, std::vector<runner_view> views,
@@ -62,15 +62,16 @@
 
 TEST_CASE("late binding goes to another hall when its delay is waited out")
 {
-    auto far = view(8, 0, false);
-    far.delay = milliseconds{3};
+    auto other_hall_runner = view(8, 0, false);
+    other_hall_runner.delay = milliseconds{3};
     placement_request request;
     request.waited = milliseconds{1};
-    REQUIRE_FALSE(
-        choose(placement_kind::late_binding, {view(8, 8), far}, request)
-            .runner);
+    REQUIRE_FALSE(choose(placement_kind::late_binding,
+                         {view(8, 8), other_hall_runner}, request)
+                      .runner);
     request.waited = milliseconds{4};
-    REQUIRE(choose(placement_kind::late_binding, {view(8, 8), far}, request)
+    REQUIRE(choose(placement_kind::late_binding,
+                   {view(8, 8), other_hall_runner}, request)
                 .runner == runner_index{1});
 }
 
@@ -86,9 +87,9 @@
 
 TEST_CASE("our own starts count as busy before any report")
 {
-    auto sent = view(2, 1);
-    sent.outstanding = 2;
-    REQUIRE_FALSE(choose(placement_kind::late_binding, {sent}).runner);
+    auto full_runner = view(2, 1);
+    full_runner.outstanding = 2;
+    REQUIRE_FALSE(choose(placement_kind::late_binding, {full_runner}).runner);
 }
 
 TEST_CASE("long tasks leave a share of the slots free")
--- a/tests/unit/decision/queue_order_tests.cpp
+++ b/tests/unit/decision/queue_order_tests.cpp
@@ -13,14 +13,14 @@
                const std::string& team = "a", duration arrived = {},
                duration deadline = seconds{100})
 {
-    queued_job made;
-    made.sequence = sequence;
-    made.team = team;
-    made.arrived = arrived;
-    made.deadline = deadline;
-    made.tasks_left = tasks;
-    made.seconds_per_task = 0.1;
-    return made;
+    queued_job result;
+    result.sequence = sequence;
+    result.team = team;
+    result.arrived = arrived;
+    result.deadline = deadline;
+    result.tasks_left = tasks;
+    result.seconds_per_task = 0.1;
+    return result;
 }
 
 job_queue queue_of(queue_order_kind order)
@@ -41,7 +41,7 @@
 
 TEST_CASE("each order takes the job it is named for")
 {
-    const auto first_with = [](queue_order_kind order)
+    const auto first_job_in = [](queue_order_kind order)
     {
         auto queue = queue_of(order);
         queue.push(job(1, 50, "a", seconds{1}, seconds{9}));
@@ -49,9 +49,9 @@
         queue.push(job(3, 20, "a", seconds{3}, seconds{5}));
         return queue.front().value();
     };
-    REQUIRE(first_with(queue_order_kind::first_come) == 1);
-    REQUIRE(first_with(queue_order_kind::least_work) == 2);
-    REQUIRE(first_with(queue_order_kind::earliest_deadline) == 3);
+    REQUIRE(first_job_in(queue_order_kind::first_come) == 1);
+    REQUIRE(first_job_in(queue_order_kind::least_work) == 2);
+    REQUIRE(first_job_in(queue_order_kind::earliest_deadline) == 3);
 }
 
 TEST_CASE("a change of order sorts what is queued anew")
@@ -102,10 +102,10 @@
     for (int i = 0; i < 500; ++i)
         take(queue);
     queue.push(job(2, 100, "b"));
-    int others = 0;
+    int tasks_of_b = 0;
     for (int i = 0; i < 100; ++i)
-        others += take(queue) == 2 ? 1 : 0;
-    REQUIRE(others <= 51);
+        tasks_of_b += take(queue) == 2 ? 1 : 0;
+    REQUIRE(tasks_of_b <= 51);
 }
 
 TEST_CASE("sums stay right through take, put back and remove")
@@ -114,7 +114,7 @@
     queue.push(job(1, 3));
     queue.push(job(2, 2));
     take(queue);
-    queue.demote(job(2, 1));
+    queue.requeue_task(job(2, 1));
     REQUIRE(queue.tasks() == 5);
     REQUIRE(queue.seconds_of_work() == Approx(0.5));
     queue.remove(1);
@@ -122,6 +122,6 @@
     take(queue);
     take(queue);
     REQUIRE(queue.empty());
-    queue.demote(job(2, 1));
+    queue.requeue_task(job(2, 1));
     REQUIRE(queue.front() == 2U);
 }
--- a/tests/unit/entry/coordinator_tests.cpp
+++ b/tests/unit/entry/coordinator_tests.cpp
@@ -191,7 +191,7 @@
 TEST_CASE("retries are bounded by the budget of the team")
 {
     coordinator_settings settings;
-    settings.retry.at_first = 2;
+    settings.retry.initial_budget = 2;
     fixture f(settings);
     f.submit(fixture::request(1));
     for (std::size_t i = 0; i < 3; ++i)
