--- a/src/glenhollow/decision/admission.cpp
+++ b/src/glenhollow/decision/admission.cpp
@@ -42,8 +42,8 @@
         request.queued_tasks + request.tasks > settings.max_queued_tasks)
         return refuse(reason::queue_full, to_duration(queue_seconds));
 
-    // The last of the job's tasks starts when the queue before it and its own
-    // siblings have passed through the slots, then it runs for its length.
+    // The job completes after the queue ahead of it and its own tasks have run
+    // on the available slots, which takes at least the duration of one task.
     const double job_seconds =
         static_cast<double>(request.tasks) * request.seconds_per_task / rate;
     const double expected_seconds =
--- a/src/glenhollow/decision/health.cpp
+++ b/src/glenhollow/decision/health.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Weight of a new sample in the smoothed stretch.
+/// Weight of a new sample in the moving average of the slowdown.
 constexpr double slowdown_weight = 0.1;
 
 } // namespace
--- a/src/glenhollow/decision/health.hpp
+++ b/src/glenhollow/decision/health.hpp
@@ -12,25 +12,29 @@
 namespace glenhollow
 {
 
-/// Limits of the judgement on runners.
+/// Settings of the health checks on backend servers.
 struct health_settings
 {
-    std::size_t consecutive_failures = 3;   ///< Ejects a runner.
-    double most_ejected = 0.3;              ///< Share of the runners.
-    duration initial_ejection = seconds{2}; ///< Doubles each time.
-    duration max_ejection = seconds{60};    ///< The doubling ends here.
-    double slow_at = 2.0;         ///< Times its siblings' length: less work.
-    double min_speed = 0.25;      ///< A slow runner keeps this share of slots.
-    std::size_t min_samples = 20; ///< Before a runner is called slow.
+    std::size_t consecutive_failures = 3; ///< Failures before an ejection.
+    double most_ejected = 0.3;            ///< Maximum fraction ejected at once.
+    duration initial_ejection = seconds{2}; ///< Doubled on each repeat.
+    duration max_ejection = seconds{60};    ///< Upper bound of the doubling.
+
+    /// Ratio of actual to expected task duration above which a backend server
+    /// is slow and gets less work.
+    double slow_at = 2.0;
+
+    double min_speed = 0.25;      ///< Minimum fraction of slots for a slow one.
+    std::size_t min_samples = 20; ///< Samples before one counts as slow.
 };
 
-/// A change in the state of a runner.
+/// A change in the health state of a backend server.
 enum class health_change : std::uint8_t
 {
-    none,     ///< As before.
-    ejected,  ///< It gets no work for a while.
-    on_trial, ///< It gets one task at a time.
-    recovered ///< It gets work as before.
+    none,     ///< The state is unchanged.
+    ejected,  ///< It gets no tasks until the ejection ends.
+    on_trial, ///< It gets one task at a time until one succeeds.
+    recovered ///< A task succeeded on trial; full load again.
 };
 
 template <>
@@ -40,65 +44,66 @@
         "none", "ejected", "on_trial", "recovered"};
 };
 
-/// Judges runners from the ends of the tasks they got. Pure state.
+/// Detects failing and slow backend servers from the outcomes of their tasks.
+/// A server that fails several times in a row is ejected, then put on trial
+/// with one task at a time; the first success on trial makes it healthy again.
+/// The class does no I/O and takes the time as a parameter.
 class health_monitor final
 {
 public:
-    /// @param settings Limits.
+    /// Creates a monitor without backend servers.
     explicit health_monitor(const health_settings& settings)
         : settings_(settings)
     {
     }
 
-    /// @param settings New limits.
+    /// Replaces the settings; the recorded state is kept.
     void apply(const health_settings& settings) { settings_ = settings; }
 
-    /// @param count Runners known; new ones begin healthy.
+    /// Sets the number of backend servers; added ones start healthy.
     void resize(std::size_t count) { runners_.resize(count); }
 
-    /// @param runner Forgets all about a runner, whose place is used again.
+    /// Clears the state of an index that is reused for another backend server.
     void reset(runner_index runner) { runners_[runner] = {}; }
 
-    /// Notes the end of a task.
-    /// @param runner Where it was.
-    /// @param end How it ended.
-    /// @param seconds Time at the runner.
-    /// @param expected Expected time, s; 0 where unknown.
-    /// @param now The time.
-    /// @return What changed.
+    /// Records the outcome of a task.
+    /// @param runner The backend server that had the task.
+    /// @param end The outcome.
+    /// @param seconds Actual duration at the backend server, s.
+    /// @param expected Expected duration, s; 0 if unknown.
+    /// @param now The current time.
+    /// @return The resulting change of state.
     health_change record_outcome(runner_index runner,
                                  const outcome_of_task& end, double seconds,
                                  double expected, instant now);
 
-    /// Lets ejected runners return on trial when their time is over.
-    /// @param runner Which.
-    /// @param now The time.
-    /// @return What changed.
+    /// Puts an ejected backend server on trial if its ejection has expired.
+    /// @return health_change::on_trial if it has, otherwise none.
     health_change end_ejection_if_due(runner_index runner, instant now);
 
-    /// Writes the judgement into a view.
-    /// @param runner Which.
-    /// @param view Gets ejected, on_trial and speed.
+    /// Writes the health state of a backend server into its view.
+    /// @param runner The backend server.
+    /// @param view The view; its ejected, on_trial and speed are set.
     void apply(runner_index runner, runner_view& view) const;
 
 private:
-    /// What is known of a runner.
+    /// The health state of one backend server.
     struct runner_state
     {
-        std::size_t failure_count = 0;   ///< In a row.
-        bool ejected = false;            ///< It gets no work.
-        bool on_trial = false;           ///< One task at a time.
+        std::size_t failure_count = 0;   ///< Consecutive failures.
+        bool ejected = false;            ///< It gets no tasks.
+        bool on_trial = false;           ///< It gets one task at a time.
         instant ejected_until{};         ///< End of the ejection.
-        duration next_ejection_length{}; ///< Its length if it comes again.
-        double slowdown = 1;             ///< Smoothed actual / expected length.
-        std::size_t samples = 0;         ///< Behind stretch.
+        duration next_ejection_length{}; ///< Duration of the next ejection.
+        double slowdown = 1;     ///< Smoothed ratio of actual to expected time.
+        std::size_t samples = 0; ///< Number of samples in slowdown.
     };
 
     static bool is_runner_failure(const outcome_of_task& end);
     bool can_eject_another() const;
 
-    health_settings settings_;          ///< Limits.
-    std::vector<runner_state> runners_; ///< By index.
+    health_settings settings_;
+    std::vector<runner_state> runners_; ///< Indexed by runner_index.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/decision/occupancy.cpp
+++ b/src/glenhollow/decision/occupancy.cpp
@@ -9,13 +9,14 @@
 namespace
 {
 
-/// Weight of a new length in the mean.
+/// Weight of a new sample in the mean task duration.
 constexpr double mean_weight = 0.02;
 
-/// Weight of the assumption that runners are idle, against a fresh report.
+/// Weight per backend server of the prior that servers are idle; a report that
+/// has just arrived has weight 1.
 constexpr double idle_prior_weight = 0.1;
 
-/// Shortest mean length, s, so that the age of a report can be divided by it.
+/// Lower bound of the mean task duration, s. It avoids a division by zero.
 constexpr double min_mean_seconds = 0.001;
 
 } // namespace
--- a/src/glenhollow/decision/occupancy.hpp
+++ b/src/glenhollow/decision/occupancy.hpp
@@ -11,43 +11,46 @@
 namespace glenhollow
 {
 
-/// Estimates how many tasks of other entries are at each runner. A report is
-/// exact when it is made; as it ages, the tasks it counted end and others
-/// come, so the estimate drifts from the report to the mean of what runners
-/// reported lately. When all reports are old that mean goes to 0: a start sent
-/// on the chance brings fresh news and waits at the runner at worst.
-/// Pure state.
+/// Estimates how many tasks of other entries each backend server has. With the
+/// age of a server's last report, the estimate moves from the reported value to
+/// the mean of the recent reports of all servers. That mean decays to 0 when
+/// all reports are old, so that a task is sent and its reply brings a new
+/// report; in the worst case the task queues at the server.
+/// The class does no I/O and takes the time as a parameter.
 class occupancy_estimate final
 {
 public:
-    /// @param count Runners known.
+    /// Sets the number of backend servers.
     void resize(std::size_t count) { runners_.resize(count); }
 
-    /// @param runner Who reported.
-    /// @param busy Tasks running and queued there.
-    /// @param own Of them, ours.
-    /// @param now The time.
+    /// Records a load report of a backend server.
+    /// @param runner The backend server.
+    /// @param busy Tasks running or queued there.
+    /// @param own_tasks Number of those tasks that this shard sent.
+    /// @param now The current time.
     void report(runner_index runner, std::int32_t busy, std::int32_t own_tasks,
                 instant now);
 
-    /// @param seconds Time a task took.
+    /// Adds the duration of a finished task to the mean, which sets how fast
+    /// reports lose their weight.
+    /// @param seconds Duration of the task, s.
     void note_length(double seconds);
 
-    /// Writes the estimates of this time into the views.
-    /// @param views One for each runner.
-    /// @param now The time.
+    /// Writes the current estimates into the views.
+    /// @param views One view per backend server; peer_tasks is set.
+    /// @param now The current time.
     void apply(std::vector<runner_view>& views, instant now) const;
 
 private:
-    /// The last report of a runner.
+    /// The last report of one backend server.
     struct report_state
     {
         double peer_tasks = 0; ///< Tasks of other entries.
-        instant received_at{}; ///< When it came.
+        instant received_at{}; ///< Time of the report.
     };
 
-    std::vector<report_state> runners_; ///< By index.
-    double mean_seconds_ = 0.3;         ///< Length of a task, smoothed.
+    std::vector<report_state> runners_; ///< Indexed by runner_index.
+    double mean_seconds_ = 0.3;         ///< Smoothed task duration.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/decision/placement.cpp
+++ b/src/glenhollow/decision/placement.cpp
@@ -14,7 +14,8 @@
     return std::find(avoid.begin(), avoid.end(), index) != avoid.end();
 }
 
-/// Collects the runners that may get the task.
+/// Replaces the contents of usable with the backend servers that can get the
+/// task.
 void collect_usable(const placement_request& request,
                     std::vector<runner_index>& usable)
 {
@@ -33,7 +34,7 @@
                                                                   1)(random)];
 }
 
-/// Uniform over the usable runners.
+/// Chooses uniformly among the usable backend servers.
 class random_placement final : public placement
 {
 private:
@@ -49,7 +50,7 @@
     std::vector<runner_index> usable_; ///< Reused between calls.
 };
 
-/// The less busy, by share of its slots, of two random runners.
+/// Chooses the less loaded of two random backend servers, by tasks per slot.
 class two_choices_placement final : public placement
 {
 private:
@@ -74,7 +75,7 @@
     std::vector<runner_index> usable_; ///< Reused between calls.
 };
 
-/// The runner with the fewest tasks of our own.
+/// Chooses the backend server with the fewest tasks of this shard.
 class least_outstanding_placement final : public placement
 {
 private:
@@ -84,7 +85,8 @@
         collect_usable(request, usable_);
         if (usable_.empty())
             return {std::nullopt, reason::no_runner};
-        // A random first candidate, so that equal ones share the work.
+        // A random first candidate spreads the tasks over equally loaded
+        // servers.
         auto best = pick_uniform(usable_, random);
         for (const auto index : usable_)
         {
@@ -98,8 +100,9 @@
     std::vector<runner_index> usable_; ///< Reused between calls.
 };
 
-/// A runner with a free slot, in the own hall first; otherwise the task waits
-/// at the entry, where a slot that becomes free anywhere can still take it.
+/// Chooses a backend server with a free slot, in the entry's own hall first.
+/// Without a free slot the task waits at the entry, so that the first slot to
+/// become free on any server can take it.
 class late_binding_placement final : public placement
 {
 public:
@@ -115,7 +118,7 @@
         const auto totals = sum_usable(request);
         if (totals.usable == 0)
             return {std::nullopt, reason::no_runner};
-        // Long tasks leave a share of all slots to the short ones.
+        // Long tasks leave the reserved slots to short tasks.
         const double reserve = settings_.short_reserve * totals.slots;
         if (request.long_task && totals.free <= reserve &&
             totals.outstanding > 0)
@@ -124,20 +127,21 @@
             return {own_hall_runner, reason::free_slot};
         if (const auto other_hall_runner = most_free(request, false, random))
             return {other_hall_runner, reason::free_slot};
-        // With nothing of ours out there, no answer would tell of a slot that
-        // becomes free, so the least loaded runner gets the task to queue.
+        // If this shard has outstanding tasks, the next reply reports the load
+        // and the task waits for it. Otherwise it is queued at the least loaded
+        // server.
         if (totals.outstanding > 0)
             return {std::nullopt, reason::none};
         return {least_loaded(request), reason::least_outstanding};
     }
 
-    /// Totals over the usable runners.
+    /// Totals over the usable backend servers.
     struct usable_totals
     {
-        std::int32_t usable = 0;      ///< Runners that may get a task.
-        double slots = 0;             ///< Of those.
-        double free = 0;              ///< Of those.
-        std::int32_t outstanding = 0; ///< Our tasks there.
+        std::int32_t usable = 0;      ///< Number of usable servers.
+        double slots = 0;             ///< Effective slots.
+        double free = 0;              ///< Estimated free slots.
+        std::int32_t outstanding = 0; ///< Tasks of this shard.
     };
 
     static usable_totals sum_usable(const placement_request& request)
@@ -156,7 +160,8 @@
         return totals;
     }
 
-    /// The runner with the largest free share in or outside the own hall.
+    /// Returns the usable server with the largest fraction of free slots, in
+    /// the own hall or outside it. Ties are broken at random.
     std::optional<runner_index> most_free(const placement_request& request,
                                           bool own_hall,
                                           random_engine& random) const
@@ -171,8 +176,8 @@
                 view.free_slots() < min_free_slots - settings_.overcommit ||
                 is_avoided(request.avoid, i))
                 continue;
-            // Another hall is worth its delay only to a task that has waited
-            // as long.
+            // A task goes to another hall only after it has waited for at least
+            // the round-trip time to that hall.
             if (!own_hall && request.waited < view.delay)
                 continue;
             const double score = view.free_slots() / view.slots;
@@ -205,10 +210,11 @@
         return best;
     }
 
-    /// A slot counts as free when the estimate says so by half at least.
+    /// Minimum estimate of free slots, which is fractional, that counts as one
+    /// free slot.
     static constexpr double min_free_slots = 0.5;
 
-    placement_settings settings_; ///< Limits.
+    placement_settings settings_;
 };
 
 } // namespace
--- a/src/glenhollow/decision/placement.hpp
+++ b/src/glenhollow/decision/placement.hpp
@@ -14,13 +14,13 @@
 namespace glenhollow
 {
 
-/// The ways to choose a runner.
+/// Strategies for choosing the backend server of a task.
 enum class placement_kind : std::uint8_t
 {
-    random,            ///< Uniform; the baseline.
-    two_choices,       ///< The less busy of two random ones.
-    least_outstanding, ///< The one with the fewest of our own tasks.
-    late_binding       ///< One with a free slot, or wait.
+    random,            ///< A uniformly random server; the baseline.
+    two_choices,       ///< The less loaded of two random servers.
+    least_outstanding, ///< The server with the fewest tasks of this shard.
+    late_binding       ///< A server with a free slot, else the task waits.
 };
 
 template <>
@@ -30,54 +30,53 @@
         "random", "two_choices", "least_outstanding", "late_binding"};
 };
 
-/// What a task asks of its placement.
+/// A task to place and the backend servers it can be placed on.
 struct placement_request
 {
-    std::span<const runner_view> runners; ///< All that the shard links to.
-    std::span<const runner_index> avoid;  ///< Those that refused it before.
-    duration waited{};                    ///< Time it has been queued.
-    bool long_task = false;               ///< Keep a share of slots free.
+    std::span<const runner_view> runners; ///< All linked backend servers.
+    std::span<const runner_index> avoid;  ///< Servers that refused the task.
+    duration waited{};                    ///< Time since the job was admitted.
+    bool long_task = false; ///< The task must leave the reserved slots free.
 };
 
-/// A chosen runner, or none: the task waits.
+/// The result of a placement. Without a runner, the task stays queued.
 struct placement_choice
 {
-    std::optional<runner_index> runner; ///< Where it goes.
-    reason why = reason::none;          ///< By which rule.
+    std::optional<runner_index> runner; ///< The chosen backend server, if any.
+    reason why = reason::none; ///< Rule that chose it, or why none was chosen.
 };
 
-/// Limits of placements.
+/// Settings of the placement strategies.
 struct placement_settings
 {
-    /// Tasks that late binding lets wait at a runner, so that a slot that
-    /// becomes free there is not idle for a message there and back.
+    /// Number of tasks that late binding queues at a busy backend server, so
+    /// that a slot that becomes free is not idle for a round trip.
     double overcommit = 0;
 
-    /// Share of all slots that long tasks leave to short ones.
+    /// Fraction of all slots reserved for short tasks, 0..1.
     double short_reserve = 0.1;
 };
 
-/// Chooses runners; a pure function of the request and the random numbers.
+/// Chooses the backend server of a task. The choice depends only on the
+/// request, the settings and the random numbers.
 class placement
 {
 public:
     virtual ~placement() = default;
 
-    /// @param request The task and the runners. Runners to avoid come back
-    /// when no other is left.
-    /// @param random Breaks ties.
-    /// @return The runner, or none where the task has to wait.
+    /// Chooses a backend server. Servers to avoid are chosen only if no other
+    /// server is usable.
+    /// @param request The task and the backend servers.
+    /// @param random Generator for random choices and tie-breaking.
     placement_choice choose(const placement_request& request,
                             random_engine& random);
 
-    /// @param kind Which way.
-    /// @param settings Limits.
-    /// @return The strategy.
+    /// Creates a placement strategy.
     static std::unique_ptr<placement>
     create(placement_kind kind, const placement_settings& settings);
 
 private:
-    /// Chooses among the runners that are not to be avoided.
+    /// Chooses among the backend servers that are not in request.avoid.
     virtual placement_choice pick(const placement_request& request,
                                   random_engine& random) = 0;
 };
--- a/src/glenhollow/decision/queue_order.cpp
+++ b/src/glenhollow/decision/queue_order.cpp
@@ -13,7 +13,7 @@
     return std::chrono::duration<double>(time).count();
 }
 
-/// Work of a task whose length nobody knows yet, s.
+/// Assumed duration of a task whose expected duration is unknown, s.
 constexpr double default_task_seconds = 0.3;
 
 } // namespace
@@ -38,7 +38,7 @@
 void job_queue::insert(const queued_job& job)
 {
     auto& team = teams_[job.team];
-    // A team that was idle starts at the present, without credit.
+    // An account that was idle gets no credit for the time without jobs.
     if (team.order.empty())
         team.virtual_finish = std::max(team.virtual_finish, virtual_time_);
     team.order.insert({sort_key(job), job.sequence});
--- a/src/glenhollow/decision/queue_order.hpp
+++ b/src/glenhollow/decision/queue_order.hpp
@@ -14,12 +14,12 @@
 namespace glenhollow
 {
 
-/// The ways to order the jobs of one team.
+/// Orders of the queued jobs of one client account.
 enum class queue_order_kind : std::uint8_t
 {
-    first_come,       ///< By arrival; the baseline.
-    least_work,       ///< By work left, with age.
-    earliest_deadline ///< By deadline.
+    first_come,       ///< Earliest arrival first; the baseline.
+    least_work,       ///< Least remaining work first, with aging.
+    earliest_deadline ///< Earliest deadline first.
 };
 
 template <>
@@ -29,100 +29,105 @@
         "first_come", "least_work", "earliest_deadline"};
 };
 
-/// A job that has tasks to start.
+/// A job with tasks that are not yet started.
 struct queued_job
 {
-    std::uint64_t sequence = 0;  ///< Names the job.
-    std::string team;            ///< Whose it is.
-    instant arrived{};           ///< When it was admitted.
-    instant deadline{};          ///< When it is worthless.
+    std::uint64_t sequence = 0;  ///< Unique number of the job in its shard.
+    std::string team;            ///< Client account of the job.
+    instant arrived{};           ///< Time of admission.
+    instant deadline{};          ///< Time after which the result is of no use.
     std::size_t tasks_left = 0;  ///< Tasks not yet started.
-    double seconds_per_task = 0; ///< Expected, 0 where unknown.
+    double seconds_per_task = 0; ///< Expected task duration, 0 if unknown.
 };
 
-/// Limits of the queue.
+/// Settings of the job queue.
 struct job_queue_settings
 {
-    queue_order_kind order = queue_order_kind::least_work; ///< Inside a team.
+    /// Order of the jobs of one client account.
+    queue_order_kind order = queue_order_kind::least_work;
 
-    /// Seconds of work that a second of waiting is worth under least_work. A
-    /// job with w seconds left is overtaken only by jobs that arrive within
-    /// w / aging seconds, so none starves.
+    /// Seconds of work subtracted from a job's rank per second of waiting,
+    /// under least_work. It prevents starvation: a job with w seconds of work
+    /// left is overtaken only by jobs that arrive within w / aging seconds.
     double aging = 0.25;
 };
 
-/// The jobs with tasks to start. Teams share by weight (start-time fair
-/// queueing over tasks); the order inside a team is a setting. Pure state.
+/// Queue of the jobs with tasks to start. Client accounts share the starts in
+/// proportion to their weights (start-time fair queueing over tasks); the order
+/// of the jobs of one account is a setting.
 class job_queue final
 {
 public:
-    /// @param settings Limits.
+    /// Creates an empty queue.
     explicit job_queue(const job_queue_settings& settings) : settings_(settings)
     {
     }
 
-    /// @param job A job with at least one task to start.
+    /// Adds a job, which must have at least one task to start.
     void push(const queued_job& job);
 
-    /// @return The job whose task is to start next, or nothing.
+    /// @return Sequence of the job whose task starts next; none if the queue is
+    /// empty.
     std::optional<std::uint64_t> front() const;
 
-    /// Takes one task of a job out of the queue.
+    /// Removes one task of a job from the queue.
     /// @param sequence A job in the queue.
     void take_task(std::uint64_t sequence);
 
-    /// Puts a task of a job back, such as one that was refused not_run.
-    /// @param job The job as it was pushed; its tasks_left is 1.
+    /// Returns one task to the queue, for example after a refusal.
+    /// @param job The job of the task, with tasks_left set to 1; it is added if
+    /// it is no longer in the queue.
     void requeue_task(const queued_job& job);
 
-    /// @param sequence A job that may be in the queue; all of it is taken out.
+    /// Removes a job with all its tasks, if it is in the queue.
     void remove(std::uint64_t sequence);
 
-    /// @param settings New limits; jobs in the queue are ordered anew.
+    /// Replaces the settings and reorders the queued jobs.
     void apply(const job_queue_settings& settings);
 
-    /// Sets the weight of a team; 1 when never set.
-    /// @param team The team.
-    /// @param weight More than 0.
+    /// Sets the weight of a client account; the default is 1.
+    /// @param team The client account.
+    /// @param weight The weight, greater than 0.
     void set_weight(const std::string& team, double weight);
 
-    /// @return Tasks in the queue.
+    /// @return Number of tasks in the queue.
     std::size_t tasks() const { return task_count_; }
 
-    /// @return Expected seconds of work in the queue.
+    /// @return Expected duration of the tasks in the queue, s. Tasks of unknown
+    /// duration count as 0.
     double seconds_of_work() const { return work_seconds_; }
 
-    /// @return Whether no job is in the queue.
+    /// @return Whether the queue has no jobs.
     bool empty() const { return jobs_.empty(); }
 
 private:
-    /// A job's place in its team.
+    /// Sort position of a job among those of its client account.
     struct queue_position
     {
-        double key = 0;             ///< Smaller goes first.
-        std::uint64_t sequence = 0; ///< Breaks ties.
+        double key = 0;             ///< Sort key; the smallest is first.
+        std::uint64_t sequence = 0; ///< Tie-breaker.
 
         auto operator<=>(const queue_position&) const = default;
     };
 
-    /// The jobs of one team.
+    /// The queued jobs of one client account.
     struct team_queue
     {
-        double weight = 1;         ///< Share against other teams.
-        double virtual_finish = 0; ///< Virtual time when its last task ends.
-        std::set<queue_position> order; ///< Its jobs.
+        double weight = 1;         ///< Share relative to other accounts.
+        double virtual_finish = 0; ///< Virtual finish time of its last task.
+        std::set<queue_position> order; ///< Queued jobs in start order.
     };
 
     double sort_key(const queued_job& job) const;
     void insert(const queued_job& job);
     void erase_position(const queued_job& job);
 
-    job_queue_settings settings_;              ///< Limits.
-    std::map<std::uint64_t, queued_job> jobs_; ///< By sequence.
-    std::map<std::string, team_queue> teams_;  ///< By name.
-    double virtual_time_ = 0;                  ///< Of the last task taken.
-    std::size_t task_count_ = 0;               ///< In the queue.
-    double work_seconds_ = 0;                  ///< Expected work.
+    job_queue_settings settings_;              ///< Current settings.
+    std::map<std::uint64_t, queued_job> jobs_; ///< Queued jobs by sequence.
+    std::map<std::string, team_queue> teams_;  ///< Accounts by name.
+    double virtual_time_ = 0;    ///< Virtual start time of the last task.
+    std::size_t task_count_ = 0; ///< Number of queued tasks.
+    double work_seconds_ = 0;    ///< Expected work of queued tasks, s.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/decision/retry_budget.cpp
+++ b/src/glenhollow/decision/retry_budget.cpp
@@ -16,7 +16,7 @@
 
 bool retry_budget::try_withdraw(const std::string& team, std::size_t attempts)
 {
-    if (attempts >= settings_.attempts)
+    if (attempts >= settings_.max_attempts)
         return false;
     auto [team_budget, inserted] =
         budget_.try_emplace(team, settings_.initial_budget);
--- a/src/glenhollow/decision/retry_budget.hpp
+++ b/src/glenhollow/decision/retry_budget.hpp
@@ -11,49 +11,50 @@
 namespace glenhollow
 {
 
-/// Limits of retries.
+/// Limits on the retries of tasks.
 struct retry_settings
 {
-    double share = 0.1;         ///< Retries allowed per fresh task.
-    double max_budget = 100;    ///< Budget saved up, retries.
-    double initial_budget = 10; ///< Budget of a team that is new, retries.
-    std::size_t attempts = 5;   ///< Of one task, the first included.
-    duration initial_backoff = milliseconds{5}; ///< Doubles each time.
-    duration max_backoff = milliseconds{200};   ///< The doubling ends here.
+    double share = 0.1;           ///< Retries earned per admitted task.
+    double max_budget = 100;      ///< Upper bound of the budget, retries.
+    double initial_budget = 10;   ///< Budget of a new client account, retries.
+    std::size_t max_attempts = 5; ///< Attempts per task, including the first.
+    duration initial_backoff = milliseconds{5}; ///< Doubled on each retry.
+    duration max_backoff = milliseconds{200}; ///< Upper bound of the doubling.
 };
 
-/// Retries of each team, bounded by a share of its fresh work, so that a
-/// retry storm cannot arise. Pure state.
+/// Bounds the retries of each client account to a fraction of its admitted
+/// tasks, which prevents retry storms. The class does no I/O.
 class retry_budget final
 {
 public:
-    /// @param settings Limits.
+    /// Creates the budgets; each account starts with initial_budget.
     explicit retry_budget(const retry_settings& settings) : settings_(settings)
     {
     }
 
-    /// @param settings New limits.
+    /// Replaces the settings; current budgets are kept.
     void apply(const retry_settings& settings) { settings_ = settings; }
 
-    /// Earns budget from fresh work.
-    /// @param team Whose it is.
-    /// @param tasks Fresh tasks admitted.
+    /// Adds to the budget of a client account for newly admitted tasks.
+    /// @param team The client account.
+    /// @param tasks Number of tasks admitted.
     void deposit(const std::string& team, std::size_t tasks);
 
-    /// @param team Whose task is to be retried.
-    /// @param attempts Attempts made so far.
-    /// @return Whether one more attempt is allowed; it is paid for then.
+    /// Withdraws one retry from the budget of a client account.
+    /// @param team The client account.
+    /// @param attempts Number of attempts made for the task.
+    /// @return Whether the retry is allowed; otherwise nothing is withdrawn.
     bool try_withdraw(const std::string& team, std::size_t attempts);
 
-    /// @param attempts Attempts made so far, 1 or more.
-    /// @param random Draws the jitter.
-    /// @return How long to wait before the next one: full jitter below a
-    /// doubling bound.
+    /// Returns the backoff before the next attempt: exponential with full
+    /// jitter.
+    /// @param attempts Number of attempts made for the task, at least 1.
+    /// @param random Generator for the jitter.
     duration backoff(std::size_t attempts, random_engine& random) const;
 
 private:
-    retry_settings settings_;              ///< Limits.
-    std::map<std::string, double> budget_; ///< By team, retries.
+    retry_settings settings_;              ///< Current settings.
+    std::map<std::string, double> budget_; ///< Retries left, by account.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/decision/team_quota.cpp
+++ b/src/glenhollow/decision/team_quota.cpp
@@ -9,14 +9,14 @@
 namespace
 {
 
-/// Time constant of the demand meter, s.
+/// Time constant of the decay in demand_meter, s.
 constexpr double smoothing_seconds = 1.0;
 
-/// Demand that every entry is taken to have, so that a share is never 0 and a
-/// first request somewhere is not refused for want of history; tasks a second.
+/// Minimum demand assumed for every entry, tasks per second. It keeps shares
+/// above 0, so that the first request at an entry is not refused.
 constexpr double min_demand = 0.5;
 
-/// Below this demand a team is forgotten, tasks a second.
+/// Demand below which a client account counts as idle, tasks per second.
 constexpr double idle_demand = 1e-6;
 
 } // namespace
@@ -72,15 +72,15 @@
 
 std::optional<double> team_quota::quota_of(const std::string& team) const
 {
-    const auto own_demand = quotas_.find(team);
-    return own_demand != quotas_.end() ? std::optional(own_demand->second)
-                                       : default_quota_;
+    const auto found = quotas_.find(team);
+    return found != quotas_.end() ? std::optional(found->second)
+                                  : default_quota_;
 }
 
 double team_quota::share_of(const std::string& team) const
 {
-    const auto own_demand = shares_.find(team);
-    return own_demand != shares_.end() ? own_demand->second : default_share_;
+    const auto found = shares_.find(team);
+    return found != shares_.end() ? found->second : default_share_;
 }
 
 std::optional<duration> team_quota::try_acquire(const std::string& team,
--- a/src/glenhollow/decision/token_bucket.hpp
+++ b/src/glenhollow/decision/token_bucket.hpp
@@ -8,14 +8,16 @@
 namespace glenhollow
 {
 
-/// Tokens that come at a rate, up to a burst. Pure state.
+/// Token bucket: tokens accrue at a rate, up to a burst size. The class takes
+/// the time as a parameter.
 class token_bucket final
 {
 public:
-    /// Changes rate and burst; what has been saved up is kept up to the burst.
-    /// @param rate Tokens a second.
-    /// @param burst Most tokens saved up.
-    /// @param now The time.
+    /// Sets the rate and the burst size. The first call fills the bucket; later
+    /// calls keep the current tokens, up to the burst size.
+    /// @param rate Tokens per second.
+    /// @param burst Maximum number of tokens in the bucket.
+    /// @param now The current time.
     void configure(double rate, double burst, instant now)
     {
         const bool unconfigured = burst_ < 0;
@@ -25,10 +27,12 @@
         tokens_ = unconfigured ? burst : std::min(tokens_, burst);
     }
 
-    /// @param count Tokens wanted.
-    /// @param now The time.
-    /// @return Whether they were there and are taken. A full bucket gives any
-    /// count and goes into debt, so that a large job is not refused forever.
+    /// Takes tokens if enough are available. A full bucket grants any count and
+    /// its balance goes negative, so that a request larger than the burst size
+    /// is not refused forever.
+    /// @param count Number of tokens.
+    /// @param now The current time.
+    /// @return Whether the tokens were taken.
     bool take(double count, instant now)
     {
         refill(now);
@@ -40,8 +44,9 @@
         return true;
     }
 
-    /// @param count Tokens wanted.
-    /// @return How long until they are there.
+    /// @param count Number of tokens.
+    /// @return Time until the tokens are available, as of the last refill. At
+    /// rate 0, missing tokens give 60 s.
     duration wait_for(double count) const
     {
         const double missing = std::min(count, burst_) - tokens_;
@@ -53,7 +58,7 @@
             std::chrono::duration<double>(missing / rate_));
     }
 
-    /// @return Tokens there at the last call.
+    /// @return Number of tokens as of the last refill.
     double tokens() const { return tokens_; }
 
 private:
@@ -66,9 +71,9 @@
             tokens_ = std::min(burst_, tokens_ + elapsed_seconds * rate_);
     }
 
-    double rate_ = 0;       ///< Tokens a second.
-    double burst_ = -1;     ///< Most tokens; negative until configured.
-    double tokens_ = 0;     ///< There now.
+    double rate_ = 0;       ///< Tokens per second.
+    double burst_ = -1;     ///< Maximum number; negative until configured.
+    double tokens_ = 0;     ///< Tokens as of the last refill.
     instant last_refill_{}; ///< Time of the last refill.
 };
 
--- a/tests/performance/decision_benchmark.cpp
+++ b/tests/performance/decision_benchmark.cpp
@@ -1,4 +1,5 @@
-// Times the decisions alone, without any I/O: CSV of nanoseconds a decision.
+// Measures the time per call of the decision functions, without I/O. Prints CSV
+// with nanoseconds per decision.
 #include "glenhollow/decision/admission.hpp"
 #include "glenhollow/decision/occupancy.hpp"
 #include "glenhollow/decision/placement.hpp"
@@ -16,7 +17,7 @@
 namespace
 {
 
-/// Runs a decision until a tenth of a second has passed.
+/// Repeats a decision for at least 100 ms and prints the mean time per call.
 void time_decision(const std::string& name, std::size_t size,
                    const std::function<void()>& decide)
 {
--- a/tests/unit/decision/health_tests.cpp
+++ b/tests/unit/decision/health_tests.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("failures in a row eject a runner, which returns on trial")
+TEST_CASE("consecutive failures eject a runner, which then returns on trial")
 {
     health_monitor health({});
     health.resize(10);
@@ -38,7 +38,7 @@
     REQUIRE(health.end_ejection_if_due(0, now + seconds{2}) ==
             health_change::on_trial);
     REQUIRE(view_of(health, 0).on_trial);
-    // One failure on trial is enough, and the next ejection is longer.
+    // One failure on trial ejects again, for twice as long.
     REQUIRE(health.record_outcome(0, failure, 0, 0, now + seconds{2}) ==
             health_change::ejected);
     REQUIRE(health.end_ejection_if_due(0, now + seconds{5}) ==
@@ -50,7 +50,7 @@
     REQUIRE_FALSE(view_of(health, 0).on_trial);
 }
 
-TEST_CASE("a common fault ejects no more than the allowed share")
+TEST_CASE("failures of all runners eject no more than the allowed fraction")
 {
     health_monitor health({});
     health.resize(10);
@@ -65,7 +65,7 @@
     REQUIRE(ejected == 3);
 }
 
-TEST_CASE("refusals that are no fault of the runner eject nothing")
+TEST_CASE("refusals not caused by the runner do not eject it")
 {
     health_monitor health({});
     health.resize(10);
@@ -78,7 +78,7 @@
     }
 }
 
-TEST_CASE("a slow runner gets fewer slots before it is called dead")
+TEST_CASE("a slow runner gets fewer slots and is not ejected")
 {
     health_monitor health({});
     health.resize(10);
--- a/tests/unit/decision/limits_tests.cpp
+++ b/tests/unit/decision/limits_tests.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("admission refuses what cannot meet its deadline, at once")
+TEST_CASE("admission refuses a job that cannot meet its deadline")
 {
     auto request = typical_request();
     REQUIRE(refusal_reason(request) == reason::none);
@@ -41,7 +41,7 @@
     REQUIRE(refusal_reason(request) == reason::deadline_unreachable);
 }
 
-TEST_CASE("admission refuses beyond each bound")
+TEST_CASE("admission refuses a job at each limit of the shard")
 {
     auto request = typical_request();
     request.queued_tasks = 50'000;
@@ -57,7 +57,7 @@
     REQUIRE(refusal_reason(request) == reason::no_runner);
 }
 
-TEST_CASE("Retry-After is jittered between the wait and twice that")
+TEST_CASE("Retry-After is jittered between one and two times the wait")
 {
     random_engine random(3);
     duration shortest = seconds{100};
@@ -73,7 +73,7 @@
     REQUIRE(longest - shortest > seconds{3});
 }
 
-TEST_CASE("a bucket gives its rate over time and its burst at once")
+TEST_CASE("a token bucket grants its burst at once and its rate over time")
 {
     token_bucket bucket;
     instant now = seconds{100};
@@ -92,7 +92,7 @@
     REQUIRE(taken <= 105);
 }
 
-TEST_CASE("a job larger than the burst is granted and paid for later")
+TEST_CASE("a full bucket grants more than its burst and goes negative")
 {
     token_bucket bucket;
     bucket.configure(10, 5, seconds{1});
@@ -101,13 +101,14 @@
     REQUIRE(bucket.take(1, seconds{7}));
 }
 
-TEST_CASE("no number of refusals makes more retries than the share")
+TEST_CASE("retries stay within the budget if every attempt is refused")
 {
     retry_settings settings;
     retry_budget budget(settings);
     std::size_t retries = 0;
     constexpr std::size_t admitted_tasks = 10'000;
-    // Every single attempt is refused: the worst storm there can be.
+    // Every attempt is refused, so each task retries until its attempts or the
+    // budget are used up.
     for (std::size_t i = 0; i < admitted_tasks; ++i)
     {
         budget.deposit("t", 1);
@@ -120,7 +121,7 @@
     REQUIRE(retries > 900);
 }
 
-TEST_CASE("backoff is full jitter below a doubling bound")
+TEST_CASE("backoff stays below an exponential bound")
 {
     const retry_budget budget{retry_settings{}};
     random_engine random(5);
@@ -133,7 +134,7 @@
     }
 }
 
-TEST_CASE("shares of a quota sum to one and follow demand")
+TEST_CASE("quota shares sum to one and follow demand")
 {
     const std::vector<double> demand{100, 0, 20, 3};
     double sum = 0;
@@ -145,15 +146,15 @@
     }
     REQUIRE(sum == Approx(1.0));
     REQUIRE(quota_share(100, {0, 20, 3}, 4, 5) > 0.76);
-    // An entry that nobody has heard of yet still has a share.
+    // An entry without demand still has a share.
     REQUIRE(quota_share(0, {100}, 2, 5) == Approx(5.0 / 105));
-    // Entries that say nothing count with the floor.
+    // Entries without a report count with the floor.
     REQUIRE(quota_share(20, {}, 3, 5) == Approx(20.0 / 30));
     REQUIRE(demand_floor(90, 3) == Approx(15));
 }
 
-TEST_CASE("grants over all entries stay within 5% of the quota as demand "
-          "moves")
+TEST_CASE("total grants stay between 90% and 105% of the quota while "
+          "demand moves between entries")
 {
     constexpr double quota = 1000;
     constexpr std::size_t entries = 3;
@@ -167,23 +168,24 @@
     for (int step = 0; step < simulated_seconds * steps_per_second; ++step)
     {
         now += milliseconds{10};
-        // Twice the quota is asked for; every 10 s most of it moves on.
+        // The demand is twice the quota; most of it moves to another entry
+        // every 10 s.
         const std::size_t busiest_entry =
             static_cast<std::size_t>(step / (10 * steps_per_second)) % entries;
         for (std::size_t i = 0; i < entries; ++i)
         {
-            const int asks = i == busiest_entry ? 18 : 1;
-            for (int try_acquire = 0; try_acquire < asks; ++try_acquire)
+            const int requests = i == busiest_entry ? 18 : 1;
+            for (int request = 0; request < requests; ++request)
                 granted += quotas[i].try_acquire("t", 1, now) ? 0 : 1;
         }
-        // Entries tell each other their demand every 500 ms.
+        // Entries exchange their demand every 500 ms.
         if (step % 50 != 0)
             continue;
         std::vector<double> demand;
         const double floor = demand_floor(quota, entries);
         for (const auto& entry_quota : quotas)
         {
-            // Demand below the floor is not told.
+            // Demand up to the floor is not reported.
             const double rate = entry_quota.demand(now).front().second;
             demand.push_back(rate > floor ? rate : 0);
         }
--- a/tests/unit/decision/placement_tests.cpp
+++ b/tests/unit/decision/placement_tests.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("no strategy chooses a runner that may get nothing")
+TEST_CASE("no strategy chooses an unusable runner")
 {
     for (std::size_t i = 0; i < name_table<placement_kind>::names.size(); ++i)
     {
@@ -53,14 +53,14 @@
     }
 }
 
-TEST_CASE("late binding takes a free slot of the own hall first")
+TEST_CASE("late binding prefers a free slot in the own hall")
 {
     REQUIRE(choose(placement_kind::late_binding,
                    {view(8, 8), view(8, 6), view(8, 0, false)})
                 .runner == runner_index{1});
 }
 
-TEST_CASE("late binding goes to another hall when its delay is waited out")
+TEST_CASE("late binding uses another hall after a wait of its round-trip time")
 {
     auto other_hall_runner = view(8, 0, false);
     other_hall_runner.delay = milliseconds{3};
@@ -75,7 +75,7 @@
                 .runner == runner_index{1});
 }
 
-TEST_CASE("late binding waits when all are full, unless nothing is out")
+TEST_CASE("late binding waits when all slots are busy if tasks are outstanding")
 {
     REQUIRE_FALSE(
         choose(placement_kind::late_binding, {view(8, 8), view(8, 9)}).runner);
@@ -85,14 +85,14 @@
             runner_index{0});
 }
 
-TEST_CASE("our own starts count as busy before any report")
+TEST_CASE("outstanding tasks count as busy before the next report")
 {
     auto full_runner = view(2, 1);
     full_runner.outstanding = 2;
     REQUIRE_FALSE(choose(placement_kind::late_binding, {full_runner}).runner);
 }
 
-TEST_CASE("long tasks leave a share of the slots free")
+TEST_CASE("long tasks leave the reserved slots free")
 {
     placement_request request;
     request.long_task = true;
@@ -112,7 +112,7 @@
             runner_index{1});
 }
 
-TEST_CASE("a runner to avoid comes back when no other is left")
+TEST_CASE("a runner to avoid is chosen only if no other is usable")
 {
     const runner_index refused = 0;
     placement_request request;
@@ -125,7 +125,7 @@
         runner_index{0});
 }
 
-TEST_CASE("two choices takes the less busy of two, never the worst alone")
+TEST_CASE("two_choices takes the less loaded of two random runners")
 {
     std::vector<runner_view> views{view(8, 8), view(8, 0)};
     int worse = 0;
@@ -138,7 +138,8 @@
                                 ->choose(request, random);
         worse += *choice.runner == 0 ? 1 : 0;
     }
-    // The busy one is taken only when both draws hit it: a quarter.
+    // The busier runner is taken only if both draws choose it, which has a
+    // probability of 1/4.
     REQUIRE(worse > 20);
     REQUIRE(worse < 90);
 }
--- a/tests/unit/decision/queue_order_tests.cpp
+++ b/tests/unit/decision/queue_order_tests.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("each order takes the job it is named for")
+TEST_CASE("each order starts the job that its criterion ranks first")
 {
     const auto first_job_in = [](queue_order_kind order)
     {
@@ -54,7 +54,7 @@
     REQUIRE(first_job_in(queue_order_kind::earliest_deadline) == 3);
 }
 
-TEST_CASE("a change of order sorts what is queued anew")
+TEST_CASE("a change of order reorders the queued jobs")
 {
     auto queue = queue_of(queue_order_kind::first_come);
     queue.push(job(1, 50, "a", seconds{1}));
@@ -65,23 +65,23 @@
     REQUIRE(queue.front() == 2U);
 }
 
-TEST_CASE("a large job is not starved by small ones that keep coming")
+TEST_CASE("a large job is not starved by a stream of small jobs")
 {
     auto queue = queue_of(queue_order_kind::least_work);
     queue.push(job(1, 100));
     std::size_t steps = 0;
-    // One small job arrives for each task taken, 0.1 s apart.
+    // One small job arrives for each task taken, every 0.1 s.
     for (std::uint64_t next = 2; steps < 2000; ++steps, ++next)
     {
         queue.push(job(next, 1, "a", milliseconds{100 * steps}));
         if (take(queue) == 1)
             break;
     }
-    // Ten seconds of work are overtaken for 10 / 0.25 = 40 s at most.
+    // Later jobs overtake 10 s of work for at most 10 / aging = 40 s.
     REQUIRE(steps <= 400);
 }
 
-TEST_CASE("teams share by weight however much they queue")
+TEST_CASE("teams share the starts by weight, not by queue length")
 {
     auto queue = queue_of(queue_order_kind::first_come);
     queue.set_weight("b", 3);
@@ -95,7 +95,7 @@
     REQUIRE(taken[false] == 300);
 }
 
-TEST_CASE("a team that was idle has saved up no turns")
+TEST_CASE("a team that was idle gets no credit")
 {
     auto queue = queue_of(queue_order_kind::first_come);
     queue.push(job(1, 1000, "a"));
@@ -108,7 +108,7 @@
     REQUIRE(tasks_of_b <= 51);
 }
 
-TEST_CASE("sums stay right through take, put back and remove")
+TEST_CASE("task and work totals stay correct through take, requeue and remove")
 {
     auto queue = queue_of(queue_order_kind::least_work);
     queue.push(job(1, 3));
