--- a/programs/agent.cpp
+++ b/programs/agent.cpp
@@ -29,9 +29,9 @@
     line.text("runner", runner, "IP:PORT of the runner");
     line.number<std::size_t>("slots", settings.executor.slots, 1, 4096, "tasks",
                              "tasks at the runner at once");
-    line.number<std::size_t>("queue", settings.executor.queue, 0, 65536,
+    line.number<std::size_t>("queue", settings.executor.max_queued, 0, 65536,
                              "tasks", "accepted tasks that wait for a slot");
-    line.number<std::size_t>("connections", settings.connections, 1, 65536,
+    line.number<std::size_t>("connections", settings.max_connections, 1, 65536,
                              "connections", "connections to the runner");
     line.number<unsigned>("task-timeout", task_timeout_s, 1, 3600, "s",
                           "limit of one call to the runner");
@@ -54,7 +54,7 @@
     settings.runner = where.value();
     settings.task_timeout = seconds{task_timeout_s};
     settings.executor.table.max_bytes = memory_mib << 20;
-    settings.executor.table.keep_for = seconds{keep_s};
+    settings.executor.table.record_retention = seconds{keep_s};
     start_log(format, "glenhollow-agent");
     auto node = agent_node::create(settings);
     if (!node)
--- a/src/glenhollow/agent/agent_node.cpp
+++ b/src/glenhollow/agent/agent_node.cpp
@@ -1,7 +1,7 @@
 #include "glenhollow/agent/agent_node.hpp"
 
 #include "glenhollow/agent/agent_service.hpp"
-#include "glenhollow/agent/runner_caller.hpp"
+#include "glenhollow/agent/runner_client.hpp"
 #include "glenhollow/core/port_file.hpp"
 #include "glenhollow/core/random.hpp"
 #include "glenhollow/core/run_after.hpp"
@@ -27,11 +27,11 @@
 {
 
 constexpr duration tick_interval = milliseconds{500};
-constexpr duration stop_check_interval = milliseconds{20};
+constexpr duration idle_check_interval = milliseconds{20};
 
 /// How long a stopping agent goes on answering `draining`, so that entries
 /// learn of it from its own mouth rather than from a broken link.
-constexpr duration stop_linger = seconds{1};
+constexpr duration min_drain_time = seconds{1};
 
 } // namespace
 
@@ -51,7 +51,7 @@
     std::unique_ptr<span_exporter> spans;       ///< May be null.
     std::unique_ptr<rpc_listener> listener;     ///< Links from entries.
     std::unique_ptr<http_server> admin;         ///< Metrics and health.
-    std::unique_ptr<http_runner_caller> runner; ///< On the traffic thread.
+    std::unique_ptr<http_runner_client> runner; ///< On the traffic thread.
     std::unique_ptr<task_executor> executor;    ///< On the traffic thread.
     std::unique_ptr<agent_service> service;     ///< On the traffic thread.
     std::atomic<bool> stopping{false}; ///< A planned stop is under way.
@@ -66,19 +66,19 @@
                                                     "glenhollow-agent"));
             spans = std::move(exporter);
         }
-        BOOST_OUTCOME_TRY(auto links,
+        BOOST_OUTCOME_TRY(auto link_listener,
                           rpc_listener::create(traffic.io(), settings.address,
                                                settings.port));
-        listener = std::move(links);
-        http_server_settings limits;
-        limits.address = settings.address;
-        limits.port = settings.admin_port;
-        BOOST_OUTCOME_TRY(auto pages,
+        listener = std::move(link_listener);
+        http_server_settings admin_settings;
+        admin_settings.address = settings.address;
+        admin_settings.port = settings.admin_port;
+        BOOST_OUTCOME_TRY(auto admin_server,
                           http_server::create(
-                              control, limits,
+                              control, admin_settings,
                               [this](http_request request, http_responder done)
                               { serve_admin(request, std::move(done)); }));
-        admin = std::move(pages);
+        admin = std::move(admin_server);
         return write_port_file(settings.port_file,
                                {listener->port(), admin->port()});
     }
@@ -95,13 +95,14 @@
                      "upkeep", control, tick_interval,
                      [this]
                      {
-                         asio::post(traffic.io(),
-                                    [this]
-                                    {
-                                        executor->tick();
-                                        service->tick(
-                                            settings.executor.table.keep_for);
-                                    });
+                         asio::post(
+                             traffic.io(),
+                             [this]
+                             {
+                                 executor->tick();
+                                 service->tick(
+                                     settings.executor.table.record_retention);
+                             });
                      }),
                  restart_policy::restart);
     }
@@ -111,32 +112,35 @@
         traffic.run(
             [this]
             {
-                http_client_settings calls;
-                calls.server = settings.runner;
-                calls.max_connections = settings.connections;
-                calls.call_timeout = settings.task_timeout;
-                runner = http_runner_caller::create(traffic.io(), calls);
+                http_client_settings client_settings;
+                client_settings.server = settings.runner;
+                client_settings.max_connections = settings.max_connections;
+                client_settings.call_timeout = settings.task_timeout;
+                runner =
+                    http_runner_client::create(traffic.io(), client_settings);
                 executor = std::make_unique<task_executor>(
                     process_clock(), *runner, settings.executor);
                 service = std::make_unique<agent_service>(
                     process_clock(), *executor, random_incarnation(),
                     spans.get(),
-                    [this](const configuration& newer) { configure(newer); });
+                    [this](const configuration& new_configuration)
+                    { configure(new_configuration); });
                 listener->serve(service->bootstrap());
             },
             [this] { listener->close(); });
     }
 
-    void configure(const configuration& newer)
+    void configure(const configuration& new_configuration)
     {
-        const auto wanted =
-            static_cast<std::size_t>(newer.settings().runner_slots);
-        executor->set_slots(wanted == 0 ? settings.executor.slots : wanted);
+        const auto configured_slots =
+            static_cast<std::size_t>(new_configuration.settings().runner_slots);
+        executor->set_slots(configured_slots == 0 ? settings.executor.slots
+                                                  : configured_slots);
         // An agent reads its own drain from the configuration, so a drain
         // needs no message of its own and holds whatever entries believe.
-        executor->drain(drain_cause::operators,
-                        newer.find(row_key(row_kind::drain, settings.name)) !=
-                            nullptr);
+        executor->drain(drain_cause::operator_request,
+                        new_configuration.find(row_key(
+                            row_kind::drain, settings.name)) != nullptr);
     }
 
     void serve_admin(const http_request& request, http_responder done)
@@ -171,11 +175,11 @@
             [this](boost::system::error_code ec, int)
             {
                 if (!ec)
-                    stop_planned();
+                    begin_shutdown();
             });
     }
 
-    void stop_planned()
+    void begin_shutdown()
     {
         stopping = true;
         log_change(log_level::info, "stop_begun", {{"agent", settings.name}});
@@ -183,7 +187,7 @@
                    [this]
                    {
                        executor->drain(drain_cause::stopping, true);
-                       wait_for_idle(process_clock().now() + stop_linger);
+                       wait_for_idle(process_clock().now() + min_drain_time);
                    });
     }
 
@@ -192,14 +196,14 @@
     {
         if (executor->idle() && process_clock().now() >= not_before)
         {
-            asio::post(control, [this] { end(0); });
+            asio::post(control, [this] { shut_down(0); });
             return;
         }
-        run_after(traffic.io(), stop_check_interval,
+        run_after(traffic.io(), idle_check_interval,
                   [this, not_before] { wait_for_idle(not_before); });
     }
 
-    void end(int status)
+    void shut_down(int status)
     {
         exit_status = status;
         root.stop();
@@ -211,9 +215,10 @@
         build_tree();
         await_signal();
         root.start(
-            [this](const std::string& why)
+            [this](const std::string& cause)
             {
-                log_change(log_level::error, "process_stops", {{"cause", why}});
+                log_change(log_level::error, "process_stops",
+                           {{"cause", cause}});
                 exit_status = 1;
                 control.stop();
             });
@@ -239,9 +244,9 @@
 result<std::unique_ptr<agent_node>>
 agent_node::create(const agent_settings& settings)
 {
-    auto made = std::make_unique<state>(settings);
-    BOOST_OUTCOME_TRYV(made->listen());
-    return std::unique_ptr<agent_node>(new agent_node(std::move(made)));
+    auto new_state = std::make_unique<state>(settings);
+    BOOST_OUTCOME_TRYV(new_state->listen());
+    return std::unique_ptr<agent_node>(new agent_node(std::move(new_state)));
 }
 
 int agent_node::run()
--- a/src/glenhollow/agent/agent_node.hpp
+++ b/src/glenhollow/agent/agent_node.hpp
@@ -22,7 +22,7 @@
     std::uint16_t admin_port = 0;        ///< Metrics; 0: the kernel picks.
     std::string port_file;               ///< Gets `RPC ADMIN`, if not empty.
     host_port runner;                    ///< The runner beside it.
-    std::size_t connections = 64;        ///< To the runner, at once.
+    std::size_t max_connections = 64;    ///< To the runner, at once.
     duration task_timeout = seconds{60}; ///< Of one call to the runner.
     task_executor_settings executor;     ///< Slots, queue and memory.
     std::string trace_file;              ///< Spans go here, if not empty.
--- a/src/glenhollow/agent/agent_service.cpp
+++ b/src/glenhollow/agent/agent_service.cpp
@@ -15,10 +15,10 @@
 namespace
 {
 
-constexpr double micro = 1e-6;
+constexpr double seconds_per_microsecond = 1e-6;
 
 /// A living entry opens a lost session again within this time.
-constexpr duration reconnect_time = seconds{1};
+constexpr duration reconnect_window = seconds{1};
 
 task_key to_key(wire::TaskKey::Reader key)
 {
@@ -51,9 +51,9 @@
 struct agent_service::batch
 {
     std::vector<task_key> keys;               ///< In the order of the call.
-    std::vector<start_record> ends;           ///< By place in keys.
+    std::vector<start_record> task_records;   ///< By place in keys.
     std::shared_ptr<std::uint64_t> received;  ///< Starts of the session.
-    std::size_t open = 0;                     ///< Tasks that have not ended.
+    std::size_t pending = 0;                  ///< Tasks that have not ended.
     kj::Own<kj::PromiseFulfiller<void>> done; ///< All have ended.
 };
 
@@ -62,48 +62,48 @@
 {
 public:
     session_server(agent_service& service, session_key key,
-                   std::uint64_t generation, std::string prefix)
+                   std::uint64_t generation, std::string id_prefix)
         : service_(service), key_(key), generation_(generation),
-          prefix_(std::move(prefix))
+          id_prefix_(std::move(id_prefix))
     {
     }
 
     ~session_server() noexcept(false)
     {
-        if (service_.is_current(key_, generation_))
+        if (service_.is_current_session(key_, generation_))
             service_.sessions_.erase(key_);
     }
 
     kj::Promise<void> start(StartContext context) override
     {
         auto& service = service_;
-        service.heard_[key_.incarnation] = service.clock_.now();
+        service.last_heard_[key_.incarnation] = service.clock_.now();
         const auto params = context.getParams();
         acknowledge(params.getAcknowledged());
 
         const auto starts = params.getStarts();
         ++service.stats_.start_calls;
         service.stats_.starts += starts.size();
-        auto shared = std::make_shared<batch>();
-        shared->open = starts.size();
-        shared->received = received_;
+        auto shared_batch = std::make_shared<batch>();
+        shared_batch->pending = starts.size();
+        shared_batch->received = received_;
         *received_ += starts.size();
-        shared->ends.resize(starts.size());
+        shared_batch->task_records.resize(starts.size());
         auto paf = kj::newPromiseAndFulfiller<void>();
-        shared->done = kj::mv(paf.fulfiller);
+        shared_batch->done = kj::mv(paf.fulfiller);
         for (std::size_t i = 0; i < starts.size(); ++i)
-            shared->keys.push_back(to_key(starts[i].getKey()));
+            shared_batch->keys.push_back(to_key(starts[i].getKey()));
         for (std::size_t i = 0; i < starts.size(); ++i)
-            begin(shared, i, starts[i]);
+            begin(shared_batch, i, starts[i]);
         context.releaseParams();
         return paf.promise.then(
-            [&service, shared, context]() mutable
-            { service.answer(*shared, context.getResults()); });
+            [&service, shared_batch, context]() mutable
+            { service.fill_reply(*shared_batch, context.getResults()); });
     }
 
     kj::Promise<void> ping(PingContext context) override
     {
-        service_.heard_[key_.incarnation] = service_.clock_.now();
+        service_.last_heard_[key_.incarnation] = service_.clock_.now();
         ++service_.stats_.pings;
         acknowledge(context.getParams().getAcknowledged());
         auto load = context.getResults().initLoad();
@@ -120,25 +120,25 @@
                                                    to_key(key));
     }
 
-    void begin(const std::shared_ptr<batch>& shared, std::size_t place,
+    void begin(const std::shared_ptr<batch>& shared_batch, std::size_t index,
                wire::Start::Reader start)
     {
-        auto settle =
-            [&service = service_, shared, place](const start_record& record)
-        { service.settle(*shared, place, record); };
+        auto complete_task = [&service = service_, shared_batch,
+                              index](const start_record& record)
+        { service.complete_task(*shared_batch, index, record); };
         // A copy that comes over a replaced link must not run: the newer link
         // may have been told not_run for it.
-        if (!service_.is_current(key_, generation_))
+        if (!service_.is_current_session(key_, generation_))
         {
-            ++service_.stats_.stale;
+            ++service_.stats_.stale_starts;
             start_record refused;
             refused.end = {verdict::not_run, reason::stale_link};
-            return settle(refused);
+            return complete_task(refused);
         }
         task_start task;
         task.incarnation = key_.incarnation;
-        task.key = shared->keys[place];
-        task.name = prefix_ + std::to_string(task.key.sequence) + "/" +
+        task.key = shared_batch->keys[index];
+        task.name = id_prefix_ + std::to_string(task.key.sequence) + "/" +
                     std::to_string(task.key.task);
         task.begin_by = instant{start.getBeginBy()};
         task.team = start.getTeam().cStr();
@@ -147,13 +147,13 @@
         const auto payload = start.getPayload().asChars();
         task.payload.assign(payload.begin(), payload.size());
         service_.start_traced(std::move(task), start.getTraceparent(),
-                              std::move(settle));
+                              std::move(complete_task));
     }
 
     agent_service& service_;   ///< The agent.
     session_key key_;          ///< Whose link it is.
     std::uint64_t generation_; ///< Counts the links of the shard.
-    std::string prefix_;       ///< Submission id up to the sequence.
+    std::string id_prefix_;    ///< Submission id up to the sequence.
     std::shared_ptr<std::uint64_t> received_ =
         std::make_shared<std::uint64_t>(0); ///< Starts that came over it.
 };
@@ -170,16 +170,16 @@
         const session_key key{params.getIncarnation(), params.getShard()};
         const std::uint64_t generation = params.getGeneration();
         ++service_.stats_.hellos;
-        service_.heard_[key.incarnation] = service_.clock_.now();
+        service_.last_heard_[key.incarnation] = service_.clock_.now();
         auto& newest = service_.sessions_[key];
         newest = std::max(newest, generation);
         submission_id id{params.getHall().cStr(), params.getEntry().cStr(),
                          key.incarnation, 0};
-        std::string prefix = id.to_string();
-        prefix.pop_back();
+        std::string id_prefix = id.to_string();
+        id_prefix.pop_back();
         auto results = context.getResults();
         results.setSession(kj::heap<session_server>(service_, key, generation,
-                                                    std::move(prefix)));
+                                                    std::move(id_prefix)));
         results.setIncarnation(service_.incarnation_);
         service_.fill_load(results.initLoad());
         return kj::READY_NOW;
@@ -201,17 +201,17 @@
         if (service_.executor_.table().draining() != on)
             log_change(log_level::info, on ? "draining" : "drain_ended",
                        {{"by", std::string(params.getBy().cStr())}});
-        service_.executor_.drain(drain_cause::leaving, on);
+        service_.executor_.drain(drain_cause::vm_leaving, on);
         service_.fill_load(context.getResults().initLoad());
         return kj::READY_NOW;
     }
 
     kj::Promise<void> configure(ConfigureContext context) override
     {
-        auto& known = service_.configuration_;
-        if (merge(known, context.getParams().getConfiguration()))
-            service_.configured_(known);
-        context.getResults().setVersion(known.version());
+        auto& current = service_.configuration_;
+        if (merge(current, context.getParams().getConfiguration()))
+            service_.on_configuration_(current);
+        context.getResults().setVersion(current.version());
         return kj::READY_NOW;
     }
 
@@ -240,9 +240,9 @@
 
 agent_service::agent_service(const clock_source& clock, task_executor& executor,
                              std::uint64_t incarnation, span_exporter* spans,
-                             configured_handler configured)
+                             configuration_handler on_configuration)
     : clock_(clock), executor_(executor), incarnation_(incarnation),
-      spans_(spans), configured_(std::move(configured))
+      spans_(spans), on_configuration_(std::move(on_configuration))
 {
 }
 
@@ -251,8 +251,8 @@
     return kj::heap<agent_server>(*this);
 }
 
-bool agent_service::is_current(const session_key& key,
-                               std::uint64_t generation) const
+bool agent_service::is_current_session(const session_key& key,
+                                       std::uint64_t generation) const
 {
     const auto found = sessions_.find(key);
     return found != sessions_.end() && found->second == generation;
@@ -266,7 +266,7 @@
     out.setQueued(static_cast<std::uint32_t>(load.queued));
     out.setClock(clock_.now().count());
     out.setDraining(load.draining);
-    out.setShunned(load.shunned);
+    out.setShunned(load.unreachable);
     out.setConfigVersion(configuration_.version());
     out.setLinks(static_cast<std::uint32_t>(sessions_.size()));
 }
@@ -279,85 +279,87 @@
         std::string_view(traceparent.cStr(), traceparent.size()));
     if (!parent)
         return executor_.start(std::move(task), std::move(done));
-    const auto own = parent->child();
-    task.traceparent = own.to_header();
-    if (!spans_ || !own.sampled)
+    const auto agent_context = parent->child();
+    task.traceparent = agent_context.to_header();
+    if (!spans_ || !agent_context.sampled)
         return executor_.start(std::move(task), std::move(done));
-    auto open = std::make_shared<span>();
-    open->name = "agent";
-    open->context = own;
-    open->parent_id = parent->span_id;
-    open->begin = wall_nanoseconds();
-    open->attributes.push_back({"task", task.name});
+    auto pending = std::make_shared<span>();
+    pending->name = "agent";
+    pending->context = agent_context;
+    pending->parent_id = parent->span_id;
+    pending->begin = wall_nanoseconds();
+    pending->attributes.push_back({"task", task.name});
     executor_.start(
         std::move(task),
-        [this, open, done = std::move(done)](const start_record& record)
+        [this, pending, done = std::move(done)](const start_record& record)
         {
-            write_spans(*open, record);
+            write_spans(*pending, record);
             done(record);
         });
 }
 
-void agent_service::write_spans(span& agent, const start_record& record)
+void agent_service::write_spans(span& agent_span, const start_record& record)
 {
-    agent.end = wall_nanoseconds();
-    agent.attributes.push_back(
+    agent_span.end = wall_nanoseconds();
+    agent_span.attributes.push_back(
         {"verdict", std::string(to_name(record.end.what))});
-    agent.attributes.push_back(
+    agent_span.attributes.push_back(
         {"reason", std::string(to_name(record.end.why))});
-    spans_->write(agent);
+    spans_->write(agent_span);
     // The runner itself writes no spans, so its hop is told from outside.
-    span runner;
-    runner.name = "runner";
-    runner.context = agent.context.child();
-    runner.parent_id = agent.context.span_id;
-    runner.end = agent.end;
-    runner.begin = agent.end - std::int64_t{record.run_micros} * 1000;
-    spans_->write(runner);
+    span runner_span;
+    runner_span.name = "runner";
+    runner_span.context = agent_span.context.child();
+    runner_span.parent_id = agent_span.context.span_id;
+    runner_span.end = agent_span.end;
+    runner_span.begin = agent_span.end - std::int64_t{record.run_micros} * 1000;
+    spans_->write(runner_span);
 }
 
-void agent_service::settle(batch& batch, std::size_t place,
-                           const start_record& record)
+void agent_service::complete_task(batch& batch, std::size_t index,
+                                  const start_record& record)
 {
-    batch.ends[place] = record;
-    wait_seconds_.add(record.wait_micros * micro);
+    batch.task_records[index] = record;
+    wait_seconds_.add(record.wait_micros * seconds_per_microsecond);
     if (record.end.what == verdict::ran)
-        run_seconds_.add(record.run_micros * micro);
-    if (--batch.open == 0)
+        run_seconds_.add(record.run_micros * seconds_per_microsecond);
+    if (--batch.pending == 0)
         batch.done->fulfill();
 }
 
-void agent_service::answer(const batch& batch,
-                           wire::StartReply::Builder reply) const
+void agent_service::fill_reply(const batch& batch,
+                               wire::StartReply::Builder reply) const
 {
-    auto out = reply.initResults(static_cast<unsigned>(batch.ends.size()));
-    for (std::size_t i = 0; i < batch.ends.size(); ++i)
+    auto out =
+        reply.initResults(static_cast<unsigned>(batch.task_records.size()));
+    for (std::size_t i = 0; i < batch.task_records.size(); ++i)
         fill_result(out[static_cast<unsigned>(i)], batch.keys[i],
-                    batch.ends[i]);
+                    batch.task_records[i]);
     fill_load(reply.initLoad());
     reply.getLoad().setReceived(*batch.received);
 }
 
-bool agent_service::seems_alive(std::uint64_t incarnation,
-                                duration heard_within) const
+bool agent_service::is_entry_alive(std::uint64_t incarnation,
+                                   duration liveness_window) const
 {
-    const auto heard = heard_.find(incarnation);
-    if (heard == heard_.end())
+    const auto last_heard = last_heard_.find(incarnation);
+    if (last_heard == last_heard_.end())
         return false;
     // A dead process leaves no session open; only a VM that vanished without
     // a word does, and then its silence has to last.
-    const bool has_session = std::any_of(
-        sessions_.begin(), sessions_.end(),
-        [&](const auto& one) { return one.first.incarnation == incarnation; });
-    const auto limit = has_session ? heard_within : reconnect_time;
-    return clock_.now() - heard->second < limit;
+    const bool has_session =
+        std::any_of(sessions_.begin(), sessions_.end(),
+                    [&](const auto& item)
+                    { return item.first.incarnation == incarnation; });
+    const auto limit = has_session ? liveness_window : reconnect_window;
+    return clock_.now() - last_heard->second < limit;
 }
 
-void agent_service::fence(std::uint64_t incarnation, duration heard_within,
+void agent_service::fence(std::uint64_t incarnation, duration liveness_window,
                           wire::Agent::FenceResults::Builder results)
 {
     if (!executor_.table().is_fenced(incarnation) &&
-        seems_alive(incarnation, heard_within))
+        is_entry_alive(incarnation, liveness_window))
     {
         ++stats_.fences_declined;
         results.setDeclined(true);
@@ -379,21 +381,22 @@
         const auto* record = table.find(incarnation, keys[i]);
         const bool done = record->at == start_record::stage::done;
         unfinished += done ? 0 : 1;
-        start_record shown;
+        start_record reported;
         if (done)
-            shown = *record;
+            reported = *record;
         else
-            shown.end = {verdict::may_have_run, reason::entry_lost};
-        shown.job = record->job;
-        fill_result(out[static_cast<unsigned>(i)], keys[i], shown);
+            reported.end = {verdict::may_have_run, reason::entry_lost};
+        reported.job = record->job;
+        fill_result(out[static_cast<unsigned>(i)], keys[i], reported);
     }
     results.setUnfinished(unfinished);
 }
 
-void agent_service::tick(duration keep_for)
+void agent_service::tick(duration retention)
 {
-    const instant oldest = clock_.now() - keep_for;
-    std::erase_if(heard_, [&](const auto& one) { return one.second < oldest; });
+    const instant cutoff = clock_.now() - retention;
+    std::erase_if(last_heard_,
+                  [&](const auto& item) { return item.second < cutoff; });
 }
 
 void agent_service::collect(metric_page& page) const
--- a/src/glenhollow/agent/agent_service.hpp
+++ b/src/glenhollow/agent/agent_service.hpp
@@ -26,7 +26,7 @@
     std::uint64_t hellos = 0;          ///< Sessions opened.
     std::uint64_t fences = 0;          ///< Incarnations fenced.
     std::uint64_t fences_declined = 0; ///< Fences declined.
-    std::uint64_t stale = 0;           ///< Starts over a replaced link.
+    std::uint64_t stale_starts = 0;    ///< Starts over a replaced link.
 };
 
 /// Names an entry's session: one link of one shard.
@@ -44,7 +44,7 @@
 {
 public:
     /// Called when the configuration has become newer.
-    using configured_handler = std::function<void(const configuration&)>;
+    using configuration_handler = std::function<void(const configuration&)>;
 
     /// @param clock The agent's clock; outlives the service.
     /// @param executor Runs the tasks; outlives the service.
@@ -53,14 +53,14 @@
     /// @param configured Told of each newer configuration.
     agent_service(const clock_source& clock, task_executor& executor,
                   std::uint64_t incarnation, span_exporter* spans,
-                  configured_handler configured);
+                  configuration_handler on_configuration);
 
     /// @return The RPC interface; it refers to this service.
     wire::Agent::Client bootstrap();
 
     /// Forgets entries that have been silent for long.
-    /// @param keep_for Longer than their starts are remembered.
-    void tick(duration keep_for);
+    /// @param retention Longer than their starts are remembered.
+    void tick(duration retention);
 
     /// @param page Gets the metrics of this service.
     void collect(metric_page& page) const;
@@ -76,23 +76,26 @@
     void fill_load(wire::Load::Builder load) const;
     void start_traced(task_start task, capnp::Text::Reader traceparent,
                       task_executor::handler done);
-    void write_spans(span& agent, const start_record& record);
-    void settle(batch& batch, std::size_t place, const start_record& record);
-    void answer(const batch& batch, wire::StartReply::Builder reply) const;
-    void fence(std::uint64_t incarnation, duration heard_within,
+    void write_spans(span& agent_span, const start_record& record);
+    void complete_task(batch& batch, std::size_t index,
+                       const start_record& record);
+    void fill_reply(const batch& batch, wire::StartReply::Builder reply) const;
+    void fence(std::uint64_t incarnation, duration liveness_window,
                wire::Agent::FenceResults::Builder results);
-    bool seems_alive(std::uint64_t incarnation, duration heard_within) const;
-    bool is_current(const session_key& key, std::uint64_t generation) const;
-
-    const clock_source& clock_;     ///< The agent's clock.
-    task_executor& executor_;       ///< Runs the tasks.
-    std::uint64_t incarnation_;     ///< This start of the agent.
-    span_exporter* spans_;          ///< May be null.
-    configured_handler configured_; ///< Told of newer configurations.
-    configuration configuration_;   ///< Newest seen.
-    std::map<session_key, std::uint64_t> sessions_;    ///< Newest generations.
-    std::unordered_map<std::uint64_t, instant> heard_; ///< By incarnation.
-    agent_service_stats stats_;                        ///< Counters.
+    bool is_entry_alive(std::uint64_t incarnation,
+                        duration liveness_window) const;
+    bool is_current_session(const session_key& key,
+                            std::uint64_t generation) const;
+
+    const clock_source& clock_;              ///< The agent's clock.
+    task_executor& executor_;                ///< Runs the tasks.
+    std::uint64_t incarnation_;              ///< This start of the agent.
+    span_exporter* spans_;                   ///< May be null.
+    configuration_handler on_configuration_; ///< Told of newer configurations.
+    configuration configuration_;            ///< Newest seen.
+    std::map<session_key, std::uint64_t> sessions_; ///< Newest generations.
+    std::unordered_map<std::uint64_t, instant> last_heard_; ///< By incarnation.
+    agent_service_stats stats_;                             ///< Counters.
     latency_summary wait_seconds_; ///< Time of tasks in the queue.
     latency_summary run_seconds_;  ///< Time of tasks at the runner.
 };
--- a/src/glenhollow/agent/runner_caller.cpp
+++ b/src/glenhollow/agent/runner_client.cpp
@@ -1,4 +1,4 @@
-#include "glenhollow/agent/runner_caller.hpp"
+#include "glenhollow/agent/runner_client.hpp"
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/json/serialize.hpp>
@@ -24,24 +24,25 @@
     return !ec;
 }
 
-runner_answer without_result(verdict what, reason why)
+runner_response without_result(verdict what, reason why)
 {
     return {{what, why}, {}};
 }
 
 } // namespace
 
-runner_answer judge_runner(http_result end)
+runner_response classify_result(http_result call_result)
 {
-    if (!end.answered)
+    if (!call_result.answered)
     {
-        const auto what = verdict_of_silence(end.progress);
+        const auto what = verdict_of_silence(call_result.progress);
         if (what == verdict::not_run)
             return without_result(what, reason::runner_unreachable);
-        return without_result(what, end.timed_out ? reason::runner_timeout
-                                                  : reason::runner_broken);
+        return without_result(what, call_result.timed_out
+                                        ? reason::runner_timeout
+                                        : reason::runner_broken);
     }
-    auto& response = end.response;
+    auto& response = call_result.response;
     if (response.status == status_ok)
     {
         // A result that is not JSON travels as a JSON string.
@@ -50,44 +51,46 @@
                 boost::json::serialize(boost::json::value(response.body));
         return {{verdict::ran, reason::none}, std::move(response.body)};
     }
-    const auto said = header_value(response.headers, verdict_header);
+    const auto declared_verdict =
+        header_value(response.headers, verdict_header);
     if (response.status == status_unavailable &&
-        said == to_name(verdict::not_run))
+        declared_verdict == to_name(verdict::not_run))
         return without_result(verdict::not_run, reason::runner_refused);
     return without_result(verdict::may_have_run, reason::runner_error);
 }
 
-http_runner_caller::http_runner_caller(boost::asio::io_context& io,
+http_runner_client::http_runner_client(boost::asio::io_context& io,
                                        const http_client_settings& settings)
     : io_(io), runner_(settings.server),
       client_(http_client::create(io, settings))
 {
 }
 
-std::unique_ptr<http_runner_caller>
-http_runner_caller::create(boost::asio::io_context& io,
+std::unique_ptr<http_runner_client>
+http_runner_client::create(boost::asio::io_context& io,
                            const http_client_settings& settings)
 {
-    return std::unique_ptr<http_runner_caller>(
-        new http_runner_caller(io, settings));
+    return std::unique_ptr<http_runner_client>(
+        new http_runner_client(io, settings));
 }
 
-void http_runner_caller::call(runner_call call, handler done)
+void http_runner_client::call(runner_request call, handler done)
 {
-    http_request request;
-    request.method = "POST";
-    request.target = "/task";
-    request.headers = {{"Glenhollow-Task", std::move(call.task)},
+    http_request message;
+    message.method = "POST";
+    message.target = "/task";
+    message.headers = {{"Glenhollow-Task", std::move(call.task)},
                        {"Glenhollow-Team", std::move(call.team)},
                        {"Content-Type", "application/json"}};
     if (!call.traceparent.empty())
-        request.headers.push_back({"traceparent", std::move(call.traceparent)});
-    request.body = std::move(call.payload);
-    client_->send(std::move(request), [done = std::move(done)](http_result end)
-                  { done(judge_runner(std::move(end))); });
+        message.headers.push_back({"traceparent", std::move(call.traceparent)});
+    message.body = std::move(call.payload);
+    client_->send(std::move(message),
+                  [done = std::move(done)](http_result call_result)
+                  { done(classify_result(std::move(call_result))); });
 }
 
-void http_runner_caller::probe(std::function<void(bool)> done)
+void http_runner_client::probe(std::function<void(bool)> done)
 {
     using boost::asio::ip::tcp;
     auto socket = std::make_shared<tcp::socket>(io_);
--- a/src/glenhollow/agent/start_table.cpp
+++ b/src/glenhollow/agent/start_table.cpp
@@ -23,14 +23,14 @@
 
 start_decision start_table::begin(std::uint64_t incarnation,
                                   const task_key& key, instant begin_by,
-                                  instant now, const job_facts& job)
+                                  instant now, const job_info& job)
 {
     // A start that is known is answered from memory, fenced or not drained.
-    if (const auto* known = find(incarnation, key))
+    if (const auto* existing = find(incarnation, key))
     {
-        const bool done = known->at == start_record::stage::done;
-        ++(done ? stats_.repeated : stats_.joined);
-        return {done ? start_decision::action::repeat
+        const bool done = existing->at == start_record::stage::done;
+        ++(done ? stats_.replayed : stats_.joined);
+        return {done ? start_decision::action::replay
                      : start_decision::action::join,
                 reason::none};
     }
@@ -48,7 +48,7 @@
         why = reason::start_expired;
 
     start_record record;
-    record.seen = now;
+    record.recorded_at = now;
     record.job = job;
     if (why != reason::none)
     {
@@ -84,26 +84,26 @@
 void start_table::finish(std::uint64_t incarnation, const task_key& key,
                          start_record record)
 {
-    auto* known = find_mutable(incarnation, key);
-    if (!known)
+    auto* existing = find_mutable(incarnation, key);
+    if (!existing)
         return;
-    record.seen = known->seen;
-    record.job = known->job;
+    record.recorded_at = existing->recorded_at;
+    record.job = existing->job;
     record.at = start_record::stage::done;
     bytes_ += record.body.size();
     if (record.end.what == verdict::not_run)
         ++stats_.refused;
-    *known = std::move(record);
+    *existing = std::move(record);
 }
 
 const start_record* start_table::find(std::uint64_t incarnation,
                                       const task_key& key) const
 {
-    const auto owner = records_.find(incarnation);
-    if (owner == records_.end())
+    const auto entry_records = records_.find(incarnation);
+    if (entry_records == records_.end())
         return nullptr;
-    const auto found = owner->second.find(key);
-    return found == owner->second.end() ? nullptr : &found->second;
+    const auto found = entry_records->second.find(key);
+    return found == entry_records->second.end() ? nullptr : &found->second;
 }
 
 start_record* start_table::find_mutable(std::uint64_t incarnation,
@@ -115,8 +115,8 @@
 
 void start_table::acknowledge(std::uint64_t incarnation, const task_key& key)
 {
-    const auto* known = find(incarnation, key);
-    if (!known || known->at != start_record::stage::done)
+    const auto* existing = find(incarnation, key);
+    if (!existing || existing->at != start_record::stage::done)
         return;
     erase(incarnation, key);
     // Results are acknowledged nearly in order, so this keeps the list short.
@@ -127,17 +127,17 @@
 
 void start_table::erase(std::uint64_t incarnation, const task_key& key)
 {
-    const auto owner = records_.find(incarnation);
-    if (owner == records_.end())
+    const auto entry_records = records_.find(incarnation);
+    if (entry_records == records_.end())
         return;
-    const auto found = owner->second.find(key);
-    if (found == owner->second.end())
+    const auto found = entry_records->second.find(key);
+    if (found == entry_records->second.end())
         return;
     bytes_ -= record_overhead + found->second.body.size();
     --count_;
-    owner->second.erase(found);
-    if (owner->second.empty())
-        records_.erase(owner);
+    entry_records->second.erase(found);
+    if (entry_records->second.empty())
+        records_.erase(entry_records);
 }
 
 void start_table::fence(std::uint64_t incarnation, instant now)
@@ -153,38 +153,38 @@
 std::vector<task_key> start_table::keys_of(std::uint64_t incarnation) const
 {
     std::vector<task_key> keys;
-    const auto owner = records_.find(incarnation);
-    if (owner == records_.end())
+    const auto entry_records = records_.find(incarnation);
+    if (entry_records == records_.end())
         return keys;
-    keys.reserve(owner->second.size());
-    for (const auto& [key, record] : owner->second)
+    keys.reserve(entry_records->second.size());
+    for (const auto& [key, record] : entry_records->second)
         keys.push_back(key);
     return keys;
 }
 
 void start_table::expire(instant now)
 {
-    const instant oldest = now - settings_.keep_for;
-    while (!by_age_.empty() && by_age_.front().seen < oldest)
+    const instant cutoff = now - settings_.record_retention;
+    while (!by_age_.empty() && by_age_.front().recorded_at < cutoff)
     {
         const auto entry = by_age_.front();
         by_age_.pop_front();
-        const auto* known = find(entry.incarnation, entry.key);
+        const auto* existing = find(entry.incarnation, entry.key);
         // The age entry of an acknowledged record points at nothing.
-        if (!known || known->seen != entry.seen)
+        if (!existing || existing->recorded_at != entry.recorded_at)
             continue;
-        if (known->at != start_record::stage::done)
+        if (existing->at != start_record::stage::done)
         {
             // A task this old still runs: look again much later.
             by_age_.push_back({now, entry.incarnation, entry.key});
-            find_mutable(entry.incarnation, entry.key)->seen = now;
+            find_mutable(entry.incarnation, entry.key)->recorded_at = now;
             continue;
         }
         ++stats_.expired;
         erase(entry.incarnation, entry.key);
     }
     std::erase_if(fenced_,
-                  [&](const auto& fence) { return fence.second < oldest; });
+                  [&](const auto& fence) { return fence.second < cutoff; });
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/agent/start_table.hpp
+++ b/src/glenhollow/agent/start_table.hpp
@@ -19,11 +19,12 @@
 struct start_table_settings
 {
     std::size_t max_bytes = 32UL << 20; ///< Records and their results.
-    duration keep_for = seconds{300};   ///< Longer than any id is good for.
+    duration record_retention =
+        seconds{300}; ///< Longer than any id is good for.
 };
 
 /// What an adopter needs to know of the job that a task belongs to.
-struct job_facts
+struct job_info
 {
     std::uint64_t body_hash = 0; ///< Of the job's body.
     std::uint32_t tasks = 0;     ///< Tasks of the job.
@@ -43,10 +44,10 @@
     stage at = stage::queued;      ///< How far it got.
     outcome_of_task end;           ///< Valid when done.
     std::string body;              ///< The result, JSON text.
-    instant seen{};                ///< When it was accepted.
+    instant recorded_at{};         ///< When it was accepted.
     std::uint32_t wait_micros = 0; ///< Time in the agent's queue.
     std::uint32_t run_micros = 0;  ///< Time at the runner.
-    job_facts job;                 ///< Of the job it belongs to.
+    job_info job;                  ///< Of the job it belongs to.
 };
 
 /// What to do with a start that has come in.
@@ -57,12 +58,12 @@
     {
         accept, ///< It is new: queue it.
         join,   ///< It runs or waits already: answer when that ends.
-        repeat, ///< It has ended: answer with the kept end.
+        replay, ///< It has ended: answer with the kept end.
         refuse  ///< It will not run here.
     };
 
-    action act = action::refuse; ///< What to do.
-    reason why = reason::none;   ///< Why it is refused.
+    action chosen_action = action::refuse; ///< What to do.
+    reason why = reason::none;             ///< Why it is refused.
 };
 
 /// Counters of a start table.
@@ -70,7 +71,7 @@
 {
     std::uint64_t accepted = 0; ///< New starts.
     std::uint64_t joined = 0;   ///< Repeats of a start in flight.
-    std::uint64_t repeated = 0; ///< Repeats of an ended start.
+    std::uint64_t replayed = 0; ///< Repeats of an ended start.
     std::uint64_t refused = 0;  ///< Refused starts.
     std::uint64_t expired = 0;  ///< Records dropped by age.
 };
@@ -97,7 +98,7 @@
     /// @return What to do with it.
     start_decision begin(std::uint64_t incarnation, const task_key& key,
                          instant begin_by, instant now,
-                         const job_facts& job = {});
+                         const job_info& job = {});
 
     /// Judges a queued task once more, right before the runner is called.
     /// @param incarnation The entry incarnation that sent it.
@@ -165,7 +166,7 @@
     /// When a record was made, to drop it by age.
     struct age_entry
     {
-        instant seen{};                ///< When it was made.
+        instant recorded_at{};         ///< When it was made.
         std::uint64_t incarnation = 0; ///< Whose it is.
         task_key key;                  ///< Which it is.
     };
--- a/src/glenhollow/agent/task_executor.cpp
+++ b/src/glenhollow/agent/task_executor.cpp
@@ -14,7 +14,7 @@
         std::chrono::duration_cast<microseconds>(length).count());
 }
 
-start_record refusal(reason why)
+start_record refused_record(reason why)
 {
     start_record record;
     record.at = start_record::stage::done;
@@ -24,7 +24,7 @@
 
 } // namespace
 
-task_executor::task_executor(const clock_source& clock, runner_caller& runner,
+task_executor::task_executor(const clock_source& clock, runner_client& runner,
                              const task_executor_settings& settings)
     : clock_(clock), runner_(runner), settings_(settings),
       table_(settings.table)
@@ -35,32 +35,32 @@
 {
     using action = start_decision::action;
     const instant now = clock_.now();
-    const global_key key{start.incarnation, start.key};
+    const entry_task_key key{start.incarnation, start.key};
     const auto decision = table_.begin(start.incarnation, start.key,
                                        start.begin_by, now, start.job);
-    switch (decision.act)
+    switch (decision.chosen_action)
     {
     case action::refuse:
         ++stats_.not_run;
-        return done(refusal(decision.why));
-    case action::repeat:
+        return done(refused_record(decision.why));
+    case action::replay:
         return done(*table_.find(start.incarnation, start.key));
     case action::join:
-        waiters_[key].push_back(std::move(done));
+        result_handlers_[key].push_back(std::move(done));
         return;
     case action::accept:
         break;
     }
-    waiters_[key].push_back(std::move(done));
+    result_handlers_[key].push_back(std::move(done));
     const bool slot_free = running_ < settings_.slots;
-    if (!slot_free && queue_.size() >= settings_.queue)
+    if (!slot_free && queue_.size() >= settings_.max_queued)
         return refuse_queued(key, reason::agent_queue_full);
     // A job with little work left goes first; with its age every task comes
     // to the front in the end.
-    const double order =
+    const double sort_key =
         start.rank +
-        settings_.aging * std::chrono::duration<double>(now).count();
-    queue_.emplace(order, queued_start{std::move(start), now});
+        settings_.aging_rate * std::chrono::duration<double>(now).count();
+    queue_.emplace(sort_key, queued_start{std::move(start), now});
     run_queued();
 }
 
@@ -76,7 +76,7 @@
 void task_executor::run(queued_start next)
 {
     auto& start = next.start;
-    const global_key key{start.incarnation, start.key};
+    const entry_task_key key{start.incarnation, start.key};
     const instant now = clock_.now();
     const auto why = table_.check_before_run(start.incarnation, start.key,
                                              start.begin_by, now);
@@ -84,69 +84,70 @@
         return refuse_queued(key, why);
     ++running_;
     ++stats_.started;
-    const auto wait = micros(now - next.since);
+    const auto wait = micros(now - next.queued_at);
     runner_.call({std::move(start.name), std::move(start.team),
                   std::move(start.traceparent), std::move(start.payload)},
-                 [this, key, now, wait](runner_answer answer)
-                 { ended(key, now, wait, std::move(answer)); });
+                 [this, key, now, wait](runner_response response)
+                 { on_task_ended(key, now, wait, std::move(response)); });
 }
 
-void task_executor::ended(const global_key& key, instant begun,
-                          std::uint32_t wait_micros, runner_answer answer)
+void task_executor::on_task_ended(const entry_task_key& key, instant started_at,
+                                  std::uint32_t wait_micros,
+                                  runner_response response)
 {
     --running_;
-    const duration took = clock_.now() - begun;
-    stats_.busy_seconds += std::chrono::duration<double>(took).count();
-    note_runner(answer.end);
+    const duration run_time = clock_.now() - started_at;
+    stats_.busy_seconds += std::chrono::duration<double>(run_time).count();
+    record_outcome(response.end);
     start_record record;
-    record.end = answer.end;
-    record.body = std::move(answer.body);
+    record.end = response.end;
+    record.body = std::move(response.body);
     record.wait_micros = wait_micros;
-    record.run_micros = micros(took);
+    record.run_micros = micros(run_time);
     // The slot is filled again first, so that the load that rides on the
     // answer is what is left.
     run_queued();
-    settle(key, std::move(record));
+    finish_task(key, std::move(record));
 }
 
-void task_executor::note_runner(const outcome_of_task& end)
+void task_executor::record_outcome(const outcome_of_task& end)
 {
     ++(end.what == verdict::ran       ? stats_.ran
        : end.what == verdict::not_run ? stats_.not_run
                                       : stats_.unknown);
     if (end.why == reason::runner_unreachable)
-        ++unreachable_;
+        ++consecutive_unreachable_;
     else
-        unreachable_ = 0;
+        consecutive_unreachable_ = 0;
 }
 
-void task_executor::refuse_queued(const global_key& key, reason why)
+void task_executor::refuse_queued(const entry_task_key& key, reason why)
 {
     ++stats_.not_run;
-    settle(key, refusal(why));
+    finish_task(key, refused_record(why));
 }
 
-void task_executor::settle(const global_key& key, start_record record)
+void task_executor::finish_task(const entry_task_key& key, start_record record)
 {
     table_.finish(key.incarnation, key.key, std::move(record));
-    auto found = waiters_.find(key);
-    if (found == waiters_.end())
+    auto found = result_handlers_.find(key);
+    if (found == result_handlers_.end())
         return;
-    const auto waiting = std::move(found->second);
-    waiters_.erase(found);
-    const auto* kept = table_.find(key.incarnation, key.key);
-    for (const auto& done : waiting)
-        done(*kept);
+    const auto handlers = std::move(found->second);
+    result_handlers_.erase(found);
+    const auto* stored = table_.find(key.incarnation, key.key);
+    for (const auto& done : handlers)
+        done(*stored);
 }
 
-void task_executor::drain(drain_cause who, bool on)
+void task_executor::drain(drain_cause cause, bool on)
 {
     if (on)
-        draining_.insert(who);
+        drain_causes_.insert(cause);
     else
-        draining_.erase(who);
-    table_.set_draining(!draining_.empty());
-    if (draining_.empty())
+        drain_causes_.erase(cause);
+    table_.set_draining(!drain_causes_.empty());
+    if (drain_causes_.empty())
         return;
     const auto queued = std::exchange(queue_, {});
     for (const auto& [key, entry] : queued)
@@ -176,7 +177,7 @@
 void task_executor::tick()
 {
     table_.expire(clock_.now());
-    if (unreachable_ < settings_.shun_after || probing_)
+    if (consecutive_unreachable_ < settings_.unreachable_threshold || probing_)
         return;
     probing_ = true;
     runner_.probe(
@@ -184,14 +185,14 @@
         {
             probing_ = false;
             if (reachable)
-                unreachable_ = 0;
+                consecutive_unreachable_ = 0;
         });
 }
 
 executor_load task_executor::load() const
 {
     return {settings_.slots, running_, queue_.size(), table_.draining(),
-            unreachable_ >= settings_.shun_after};
+            consecutive_unreachable_ >= settings_.unreachable_threshold};
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/agent/task_executor.hpp
+++ b/src/glenhollow/agent/task_executor.hpp
@@ -1,7 +1,7 @@
 #ifndef GLENHOLLOW_AGENT_TASK_EXECUTOR_HPP
 #define GLENHOLLOW_AGENT_TASK_EXECUTOR_HPP
 
-#include "glenhollow/agent/runner_caller.hpp"
+#include "glenhollow/agent/runner_client.hpp"
 #include "glenhollow/agent/start_table.hpp"
 #include "glenhollow/core/clock.hpp"
 #include "glenhollow/core/submission_id.hpp"
@@ -22,11 +22,11 @@
 /// Limits of the work an agent takes.
 struct task_executor_settings
 {
-    std::size_t slots = 8;      ///< Tasks at the runner at once.
-    std::size_t queue = 64;     ///< Accepted tasks that wait for a slot.
-    double aging = 0.25;        ///< Rank that a second of waiting is worth.
-    std::size_t shun_after = 2; ///< Refused connections in a row.
-    start_table_settings table; ///< Limits of the memory of starts.
+    std::size_t slots = 8;       ///< Tasks at the runner at once.
+    std::size_t max_queued = 64; ///< Accepted tasks that wait for a slot.
+    double aging_rate = 0.25;    ///< Rank that a second of waiting is worth.
+    std::size_t unreachable_threshold = 2; ///< Refused connections in a row.
+    start_table_settings table;            ///< Limits of the memory of starts.
 };
 
 /// A start as it came over a link.
@@ -39,26 +39,26 @@
     std::string team;              ///< Whose it is.
     std::string traceparent;       ///< W3C trace context, may be empty.
     std::string payload;           ///< JSON text.
-    job_facts job;                 ///< Of the job it belongs to.
+    job_info job;                  ///< Of the job it belongs to.
     double rank = 0;               ///< Smaller goes first, s of work left.
 };
 
 /// How busy an agent is.
 struct executor_load
 {
-    std::size_t slots = 0;   ///< Tasks it can run at once.
-    std::size_t running = 0; ///< Tasks at the runner.
-    std::size_t queued = 0;  ///< Tasks that wait for a slot.
-    bool draining = false;   ///< It refuses new starts.
-    bool shunned = false;    ///< Its runner takes no connections.
+    std::size_t slots = 0;    ///< Tasks it can run at once.
+    std::size_t running = 0;  ///< Tasks at the runner.
+    std::size_t queued = 0;   ///< Tasks that wait for a slot.
+    bool draining = false;    ///< It refuses new starts.
+    bool unreachable = false; ///< Its runner takes no connections.
 };
 
 /// Who can want an agent to drain.
 enum class drain_cause : std::uint8_t
 {
-    stopping, ///< The process was told to stop.
-    leaving,  ///< The platform's list says the VM is leaving.
-    operators ///< An operator drained the runner.
+    stopping,        ///< The process was told to stop.
+    vm_leaving,      ///< The platform's list says the VM is leaving.
+    operator_request ///< An operator drained the runner.
 };
 
 /// Counters of an executor.
@@ -82,7 +82,7 @@
     /// @param clock The agent's clock; outlives the executor.
     /// @param runner Calls the runner; outlives the executor.
     /// @param settings Limits.
-    task_executor(const clock_source& clock, runner_caller& runner,
+    task_executor(const clock_source& clock, runner_client& runner,
                   const task_executor_settings& settings);
 
     /// Takes a start; a repeat of a known one joins it or gets its end.
@@ -94,7 +94,7 @@
     /// anyone wants it.
     /// @param who Who wants it, or no longer does.
     /// @param on Whether to refuse.
-    void drain(drain_cause who, bool on);
+    void drain(drain_cause cause, bool on);
 
     /// Refuses all that an entry incarnation sends or has waiting.
     /// @param incarnation The incarnation that is adopted.
@@ -123,23 +123,23 @@
     /// An accepted start that waits for a slot.
     struct queued_start
     {
-        task_start start; ///< What to run.
-        instant since{};  ///< When it was accepted.
+        task_start start;    ///< What to run.
+        instant queued_at{}; ///< When it was accepted.
     };
 
     /// Names a task of any entry.
-    struct global_key
+    struct entry_task_key
     {
         std::uint64_t incarnation = 0; ///< Whose it is.
         task_key key;                  ///< Which it is.
 
-        bool operator==(const global_key&) const = default;
+        bool operator==(const entry_task_key&) const = default;
     };
 
     /// Hashes a global key.
-    struct global_key_hash
+    struct entry_task_key_hash
     {
-        std::size_t operator()(const global_key& key) const
+        std::size_t operator()(const entry_task_key& key) const
         {
             return task_key_hash{}(key.key) ^ key.incarnation;
         }
@@ -147,24 +147,25 @@
 
     void run_queued();
     void run(queued_start next);
-    void ended(const global_key& key, instant begun, std::uint32_t wait_micros,
-               runner_answer answer);
-    void refuse_queued(const global_key& key, reason why);
-    void settle(const global_key& key, start_record record);
-    void note_runner(const outcome_of_task& end);
+    void on_task_ended(const entry_task_key& key, instant started_at,
+                       std::uint32_t wait_micros, runner_response response);
+    void refuse_queued(const entry_task_key& key, reason why);
+    void finish_task(const entry_task_key& key, start_record record);
+    void record_outcome(const outcome_of_task& end);
 
     const clock_source& clock_;                 ///< The agent's clock.
-    runner_caller& runner_;                     ///< Calls the runner.
+    runner_client& runner_;                     ///< Calls the runner.
     task_executor_settings settings_;           ///< Limits.
     start_table table_;                         ///< The memory of starts.
     std::multimap<double, queued_start> queue_; ///< By rank and age.
-    std::unordered_map<global_key, std::vector<handler>, global_key_hash>
-        waiters_;                    ///< Whom to tell of each end.
-    std::set<drain_cause> draining_; ///< Who wants it to drain.
-    std::size_t running_ = 0;        ///< Tasks at the runner.
-    std::size_t unreachable_ = 0;    ///< Refused connections in a row.
-    bool probing_ = false;           ///< A probe is under way.
-    task_executor_stats stats_;      ///< Counters.
+    std::unordered_map<entry_task_key, std::vector<handler>,
+                       entry_task_key_hash>
+        result_handlers_;                     ///< Whom to tell of each end.
+    std::set<drain_cause> drain_causes_;      ///< Who wants it to drain.
+    std::size_t running_ = 0;                 ///< Tasks at the runner.
+    std::size_t consecutive_unreachable_ = 0; ///< Refused connections in a row.
+    bool probing_ = false;                    ///< A probe is under way.
+    task_executor_stats stats_;               ///< Counters.
 };
 
 } // namespace glenhollow
--- a/tests/schedule/simulated_world.cpp
+++ b/tests/schedule/simulated_world.cpp
@@ -29,7 +29,7 @@
 
 /// A runner: ends tasks after some time, refuses some, breaks off some. It
 /// goes on when its agent dies.
-class simulated_world::sim_runner final : public runner_caller
+class simulated_world::sim_runner final : public runner_client
 {
 public:
     sim_runner(simulated_world& world, sim_agent& agent)
@@ -37,7 +37,7 @@
     {
     }
 
-    void call(runner_call call, handler done) override;
+    void call(runner_request call, handler done) override;
 
     void probe(std::function<void(bool)> done) override { done(true); }
 
@@ -75,7 +75,7 @@
     instant paused_until{};         ///< On the world's clock.
 };
 
-void simulated_world::sim_runner::call(runner_call call, handler done)
+void simulated_world::sim_runner::call(runner_request call, handler done)
 {
     const auto id = submission_id::parse(
         std::string_view(call.task).substr(0, call.task.find('/')));
@@ -231,10 +231,10 @@
     agent.runner = std::make_unique<sim_runner>(*this, agent);
     task_executor_settings limits;
     limits.slots = 2;
-    limits.queue = 2;
+    limits.max_queued = 2;
     // Small enough that some schedules fill it.
     limits.table.max_bytes = chance(0.2) ? 1200 : 1U << 20;
-    limits.table.keep_for = seconds{40};
+    limits.table.record_retention = seconds{40};
     agent.executor =
         std::make_unique<task_executor>(agent.clock, *agent.runner, limits);
 }
--- a/tests/unit/agent/fake_runner.hpp
+++ b/tests/unit/agent/fake_runner.hpp
@@ -1,7 +1,7 @@
 #ifndef GLENHOLLOW_TESTS_UNIT_AGENT_FAKE_RUNNER_HPP
 #define GLENHOLLOW_TESTS_UNIT_AGENT_FAKE_RUNNER_HPP
 
-#include "glenhollow/agent/runner_caller.hpp"
+#include "glenhollow/agent/runner_client.hpp"
 
 #include <deque>
 #include <map>
@@ -12,13 +12,13 @@
 {
 
 /// A runner whose tasks end when the test says so.
-class fake_runner final : public runner_caller
+class fake_runner final : public runner_client
 {
 public:
-    void call(runner_call call, handler done) override
+    void call(runner_request call, handler done) override
     {
-        ++starts[call.task];
-        order.push_back(call.task);
+        ++call_counts[call.task];
+        call_order.push_back(call.task);
         running.emplace(call.task, std::move(done));
     }
 
@@ -29,17 +29,17 @@
     }
 
     /// Ends a task.
-    void end(const std::string& task, verdict what, reason why = reason::none,
-             const std::string& body = "0")
+    void finish_call(const std::string& task, verdict what,
+                     reason why = reason::none, const std::string& body = "0")
     {
         auto done = std::move(running.at(task));
         running.erase(task);
         done({{what, why}, body});
     }
 
-    std::map<std::string, int> starts;      ///< By task.
+    std::map<std::string, int> call_counts; ///< By task.
     std::map<std::string, handler> running; ///< Without an end.
-    std::deque<std::string> order;          ///< Of the starts.
+    std::deque<std::string> call_order;     ///< Of the starts.
     int probes = 0;                         ///< Asked for.
     bool reachable = true;                  ///< What probes are told.
 };
--- a/tests/unit/agent/runner_caller_tests.cpp
+++ b/tests/unit/agent/runner_client_tests.cpp
@@ -1,4 +1,4 @@
-#include "glenhollow/agent/runner_caller.hpp"
+#include "glenhollow/agent/runner_client.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -26,20 +26,20 @@
     std::shared_ptr<tcp::socket> socket;
     std::string input;
 
-    runner_answer ask(const std::string& answer, bool hang = false,
-                      duration timeout = seconds{10})
+    runner_response exchange(const std::string& answer, bool keep_open = false,
+                             duration timeout = seconds{10})
     {
         acceptor.async_accept(
-            [this, answer, hang](auto, tcp::socket accepted)
+            [this, answer, keep_open](auto, tcp::socket accepted)
             {
                 socket = std::make_shared<tcp::socket>(std::move(accepted));
                 asio::async_read_until(
                     *socket, asio::dynamic_buffer(input), "\r\n\r\n",
-                    [this, answer, hang](auto, std::size_t)
+                    [this, answer, keep_open](auto, std::size_t)
                     {
                         boost::system::error_code ignored;
                         asio::write(*socket, asio::buffer(answer), ignored);
-                        if (!hang)
+                        if (!keep_open)
                             socket->close();
                     });
             });
@@ -49,15 +49,15 @@
         return call(settings);
     }
 
-    runner_answer call(const http_client_settings& settings)
+    runner_response call(const http_client_settings& settings)
     {
-        const auto caller = http_runner_caller::create(io, settings);
-        std::optional<runner_answer> got;
-        caller->call({"s/0", "desk", "", "{}"},
-                     [&](runner_answer answer) { got = std::move(answer); });
-        while (!got)
+        const auto caller = http_runner_client::create(io, settings);
+        std::optional<runner_response> received;
+        caller->call({"s/0", "desk", "", "{}"}, [&](runner_response answer)
+                     { received = std::move(answer); });
+        while (!received)
             io.run_one();
-        return *got;
+        return *received;
     }
 };
 
@@ -67,7 +67,7 @@
 {
     raw_runner runner;
     const auto answer =
-        runner.ask("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
+        runner.exchange("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
     REQUIRE(answer.end.what == verdict::ran);
     REQUIRE(answer.body == "{}");
     REQUIRE(runner.input.find("Glenhollow-Task: s/0") != std::string::npos);
@@ -77,8 +77,8 @@
 TEST_CASE("half an answer may have run")
 {
     raw_runner runner;
-    const auto answer =
-        runner.ask("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{\"half\":");
+    const auto answer = runner.exchange(
+        "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{\"half\":");
     REQUIRE(answer.end.what == verdict::may_have_run);
     REQUIRE(answer.end.why == reason::runner_broken);
 }
@@ -86,13 +86,13 @@
 TEST_CASE("a connection closed after the request may have run")
 {
     raw_runner runner;
-    REQUIRE(runner.ask("").end.what == verdict::may_have_run);
+    REQUIRE(runner.exchange("").end.what == verdict::may_have_run);
 }
 
 TEST_CASE("a runner that hangs may have run")
 {
     raw_runner runner;
-    const auto answer = runner.ask("", true, milliseconds{50});
+    const auto answer = runner.exchange("", true, milliseconds{50});
     REQUIRE(answer.end.what == verdict::may_have_run);
     REQUIRE(answer.end.why == reason::runner_timeout);
 }
@@ -112,19 +112,17 @@
 {
     raw_runner runner;
     REQUIRE(runner
-                .ask("HTTP/1.1 503 No\r\nGlenhollow-Verdict: "
-                     "not_run\r\nContent-Length: 0\r\n\r\n")
+                .exchange("HTTP/1.1 503 No\r\nGlenhollow-Verdict: "
+                          "not_run\r\nContent-Length: 0\r\n\r\n")
                 .end.what == verdict::not_run);
     raw_runner other;
-    REQUIRE(
-        other.ask("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n").end.what ==
-        verdict::may_have_run);
+    REQUIRE(other.exchange("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
+                .end.what == verdict::may_have_run);
 }
 
 TEST_CASE("a result that is not JSON travels as a JSON string")
 {
     raw_runner runner;
-    REQUIRE(
-        runner.ask("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc").body ==
-        "\"abc\"");
+    REQUIRE(runner.exchange("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc")
+                .body == "\"abc\"");
 }
--- a/tests/unit/agent/start_table_tests.cpp
+++ b/tests/unit/agent/start_table_tests.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint64_t entry_a = 11;
 constexpr std::uint64_t entry_b = 22;
-const task_key first{1, 0};
+const task_key first_task{1, 0};
 
 start_record ran(const std::string& body)
 {
@@ -50,43 +50,44 @@
 TEST_CASE("a start is accepted once; repeats join it or get its end")
 {
     fixture f;
-    REQUIRE(f.begin(entry_a, first).act == action::accept);
-    REQUIRE(f.begin(entry_a, first).act == action::join);
-    REQUIRE(f.run(entry_a, first) == reason::none);
-    REQUIRE(f.begin(entry_a, first).act == action::join);
-    f.table.finish(entry_a, first, ran("7"));
-    REQUIRE(f.begin(entry_a, first).act == action::repeat);
-    REQUIRE(f.table.find(entry_a, first)->body == "7");
+    REQUIRE(f.begin(entry_a, first_task).chosen_action == action::accept);
+    REQUIRE(f.begin(entry_a, first_task).chosen_action == action::join);
+    REQUIRE(f.run(entry_a, first_task) == reason::none);
+    REQUIRE(f.begin(entry_a, first_task).chosen_action == action::join);
+    f.table.finish(entry_a, first_task, ran("7"));
+    REQUIRE(f.begin(entry_a, first_task).chosen_action == action::replay);
+    REQUIRE(f.table.find(entry_a, first_task)->body == "7");
 }
 
 TEST_CASE("the same key of two incarnations is two tasks")
 {
     fixture f;
-    REQUIRE(f.begin(entry_a, first).act == action::accept);
-    REQUIRE(f.begin(entry_b, first).act == action::accept);
+    REQUIRE(f.begin(entry_a, first_task).chosen_action == action::accept);
+    REQUIRE(f.begin(entry_b, first_task).chosen_action == action::accept);
 }
 
 TEST_CASE("a refused start stays refused for copies that come later")
 {
     fixture f;
     f.table.set_draining(true);
-    REQUIRE(f.begin(entry_a, first).why == reason::draining);
+    REQUIRE(f.begin(entry_a, first_task).why == reason::draining);
     f.table.set_draining(false);
-    const auto copy = f.begin(entry_a, first);
-    REQUIRE(copy.act == action::repeat);
-    REQUIRE(f.table.find(entry_a, first)->end.what == verdict::not_run);
+    const auto copy = f.begin(entry_a, first_task);
+    REQUIRE(copy.chosen_action == action::replay);
+    REQUIRE(f.table.find(entry_a, first_task)->end.what == verdict::not_run);
 }
 
 TEST_CASE("a start past its time is refused on arrival and before the run")
 {
     fixture f;
-    const auto late = f.table.begin(entry_a, first, f.clock.now(),
+    const auto late = f.table.begin(entry_a, first_task, f.clock.now(),
                                     f.clock.now() + milliseconds{1});
     REQUIRE(late.why == reason::start_expired);
     const task_key second{2, 0};
     const instant begin_by = f.clock.now() + seconds{1};
-    REQUIRE(f.table.begin(entry_a, second, begin_by, f.clock.now()).act ==
-            action::accept);
+    REQUIRE(
+        f.table.begin(entry_a, second, begin_by, f.clock.now()).chosen_action ==
+        action::accept);
     // The process was paused between acceptance and the call.
     f.clock.advance(seconds{2});
     REQUIRE(f.table.check_before_run(entry_a, second, begin_by,
@@ -96,17 +97,17 @@
 TEST_CASE("a fenced incarnation starts nothing, its records stay")
 {
     fixture f;
-    REQUIRE(f.begin(entry_a, first).act == action::accept);
+    REQUIRE(f.begin(entry_a, first_task).chosen_action == action::accept);
     const task_key done{2, 0};
     f.begin(entry_a, done);
     f.run(entry_a, done);
     f.table.finish(entry_a, done, ran("1"));
     f.table.fence(entry_a, f.clock.now());
     REQUIRE(f.begin(entry_a, {3, 0}).why == reason::fenced);
-    REQUIRE(f.run(entry_a, first) == reason::fenced);
-    REQUIRE(f.begin(entry_b, {3, 0}).act == action::accept);
+    REQUIRE(f.run(entry_a, first_task) == reason::fenced);
+    REQUIRE(f.begin(entry_b, {3, 0}).chosen_action == action::accept);
     REQUIRE(f.table.keys_of(entry_a).size() == 2);
-    REQUIRE(f.begin(entry_a, done).act == action::repeat);
+    REQUIRE(f.begin(entry_a, done).chosen_action == action::replay);
 }
 
 TEST_CASE("a full table refuses and forgets nothing")
@@ -115,28 +116,28 @@
     small.max_bytes = 1000;
     fixture f(small);
     std::uint32_t accepted = 0;
-    while (f.begin(entry_a, {1, accepted}).act == action::accept)
+    while (f.begin(entry_a, {1, accepted}).chosen_action == action::accept)
         ++accepted;
     REQUIRE(accepted > 0);
     REQUIRE(f.begin(entry_a, {1, accepted}).why == reason::memory_full);
-    REQUIRE(f.begin(entry_a, {1, 0}).act == action::join);
+    REQUIRE(f.begin(entry_a, {1, 0}).chosen_action == action::join);
     // An acknowledged result makes room.
     f.run(entry_a, {1, 0});
     f.table.finish(entry_a, {1, 0}, ran(""));
     f.table.acknowledge(entry_a, {1, 0});
-    REQUIRE(f.begin(entry_a, {1, accepted}).act == action::accept);
+    REQUIRE(f.begin(entry_a, {1, accepted}).chosen_action == action::accept);
 }
 
 TEST_CASE("only ended tasks are acknowledged away")
 {
     fixture f;
-    f.begin(entry_a, first);
-    f.table.acknowledge(entry_a, first);
-    REQUIRE(f.begin(entry_a, first).act == action::join);
+    f.begin(entry_a, first_task);
+    f.table.acknowledge(entry_a, first_task);
+    REQUIRE(f.begin(entry_a, first_task).chosen_action == action::join);
     REQUIRE(f.table.bytes() > 0);
-    f.run(entry_a, first);
-    f.table.finish(entry_a, first, ran("abc"));
-    f.table.acknowledge(entry_a, first);
+    f.run(entry_a, first_task);
+    f.table.finish(entry_a, first_task, ran("abc"));
+    f.table.acknowledge(entry_a, first_task);
     REQUIRE(f.table.size() == 0);
     REQUIRE(f.table.bytes() == 0);
 }
@@ -144,13 +145,13 @@
 TEST_CASE("records expire by age, running ones never")
 {
     fixture f;
-    f.begin(entry_a, first);
-    f.run(entry_a, first);
+    f.begin(entry_a, first_task);
+    f.run(entry_a, first_task);
     f.begin(entry_a, {2, 0});
     f.run(entry_a, {2, 0});
     f.table.finish(entry_a, {2, 0}, ran("x"));
     f.clock.advance(seconds{301});
     f.table.expire(f.clock.now());
-    REQUIRE(f.table.find(entry_a, first));
+    REQUIRE(f.table.find(entry_a, first_task));
     REQUIRE_FALSE(f.table.find(entry_a, {2, 0}));
 }
--- a/tests/unit/agent/task_executor_tests.cpp
+++ b/tests/unit/agent/task_executor_tests.cpp
@@ -17,18 +17,19 @@
     manual_clock clock;
     fake_runner runner;
     task_executor executor;
-    std::map<std::string, std::vector<start_record>> ends;
+    std::map<std::string, std::vector<start_record>> records;
 
-    explicit fixture(std::size_t slots = 2, std::size_t queue = 2)
-        : executor(clock, runner, settings(slots, queue))
+    explicit fixture(std::size_t slots = 2, std::size_t max_queued = 2)
+        : executor(clock, runner, settings(slots, max_queued))
     {
     }
 
-    static task_executor_settings settings(std::size_t slots, std::size_t queue)
+    static task_executor_settings settings(std::size_t slots,
+                                           std::size_t max_queued)
     {
         task_executor_settings limits;
         limits.slots = slots;
-        limits.queue = queue;
+        limits.max_queued = max_queued;
         return limits;
     }
 
@@ -41,7 +42,7 @@
         start.name = name(number);
         start.begin_by = clock.now() + within;
         executor.start(std::move(start), [this, number](const auto& record)
-                       { ends[name(number)].push_back(record); });
+                       { records[name(number)].push_back(record); });
     }
 
     static std::string name(std::uint32_t number)
@@ -59,10 +60,10 @@
         f.start(i);
     REQUIRE(f.runner.running.size() == 2);
     REQUIRE(f.executor.load().queued == 2);
-    REQUIRE(f.ends["s/4"].front().end.why == reason::agent_queue_full);
-    REQUIRE(f.ends["s/4"].front().end.what == verdict::not_run);
+    REQUIRE(f.records["s/4"].front().end.why == reason::agent_queue_full);
+    REQUIRE(f.records["s/4"].front().end.what == verdict::not_run);
     f.runner.end("s/0", verdict::ran);
-    REQUIRE(f.ends["s/0"].front().end.what == verdict::ran);
+    REQUIRE(f.records["s/0"].front().end.what == verdict::ran);
     REQUIRE(f.runner.running.contains("s/2"));
 }
 
@@ -73,9 +74,9 @@
     f.start(0);
     f.runner.end("s/0", verdict::ran, reason::none, "42");
     f.start(0);
-    REQUIRE(f.runner.starts["s/0"] == 1);
-    REQUIRE(f.ends["s/0"].size() == 3);
-    REQUIRE(f.ends["s/0"].back().body == "42");
+    REQUIRE(f.runner.call_counts["s/0"] == 1);
+    REQUIRE(f.records["s/0"].size() == 3);
+    REQUIRE(f.records["s/0"].back().body == "42");
 }
 
 TEST_CASE("a drain refuses what waits and what comes, lets the rest end")
@@ -83,24 +84,24 @@
     fixture f;
     for (std::uint32_t i = 0; i < 3; ++i)
         f.start(i);
-    f.executor.drain(drain_cause::operators, true);
-    REQUIRE(f.ends["s/2"].front().end.why == reason::draining);
+    f.executor.drain(drain_cause::operator_request, true);
+    REQUIRE(f.records["s/2"].front().end.why == reason::draining);
     f.start(3);
-    REQUIRE(f.ends["s/3"].front().end.why == reason::draining);
+    REQUIRE(f.records["s/3"].front().end.why == reason::draining);
     f.runner.end("s/0", verdict::ran);
     f.runner.end("s/1", verdict::ran);
     REQUIRE(f.executor.idle());
-    REQUIRE(f.runner.starts.size() == 2);
+    REQUIRE(f.runner.call_counts.size() == 2);
 }
 
 TEST_CASE("a drain lasts as long as anyone wants it")
 {
     fixture f;
-    f.executor.drain(drain_cause::operators, true);
-    f.executor.drain(drain_cause::leaving, true);
-    f.executor.drain(drain_cause::operators, false);
+    f.executor.drain(drain_cause::operator_request, true);
+    f.executor.drain(drain_cause::vm_leaving, true);
+    f.executor.drain(drain_cause::operator_request, false);
     REQUIRE(f.executor.load().draining);
-    f.executor.drain(drain_cause::leaving, false);
+    f.executor.drain(drain_cause::vm_leaving, false);
     REQUIRE_FALSE(f.executor.load().draining);
 }
 
@@ -111,8 +112,8 @@
     f.start(1, entry_a, seconds{1});
     f.clock.advance(seconds{2});
     f.runner.end("s/0", verdict::ran);
-    REQUIRE(f.ends["s/1"].front().end.why == reason::start_expired);
-    REQUIRE_FALSE(f.runner.starts.contains("s/1"));
+    REQUIRE(f.records["s/1"].front().end.why == reason::start_expired);
+    REQUIRE_FALSE(f.runner.call_counts.contains("s/1"));
 }
 
 TEST_CASE("a fence refuses what waits of one incarnation only")
@@ -122,7 +123,7 @@
     f.start(1);
     f.start(2, 22);
     f.executor.fence(entry_a);
-    REQUIRE(f.ends["s/1"].front().end.why == reason::fenced);
+    REQUIRE(f.records["s/1"].front().end.why == reason::fenced);
     f.runner.end("s/0", verdict::ran);
     REQUIRE(f.runner.running.contains("s/2"));
 }
@@ -137,11 +138,11 @@
         f.runner.end(fixture::name(i), verdict::not_run,
                      reason::runner_unreachable);
     }
-    REQUIRE(f.executor.load().shunned);
+    REQUIRE(f.executor.load().unreachable);
     f.executor.tick();
-    REQUIRE(f.executor.load().shunned);
+    REQUIRE(f.executor.load().unreachable);
     f.runner.reachable = true;
     f.executor.tick();
-    REQUIRE_FALSE(f.executor.load().shunned);
+    REQUIRE_FALSE(f.executor.load().unreachable);
     REQUIRE(f.runner.probes == 2);
 }
