--- a/src/glenhollow/agent/agent_node.cpp
+++ b/src/glenhollow/agent/agent_node.cpp
@@ -29,13 +29,13 @@
 constexpr duration tick_interval = milliseconds{500};
 constexpr duration idle_check_interval = milliseconds{20};
 
-/// How long a stopping agent goes on answering `draining`, so that entries
-/// learn of it from its own mouth rather than from a broken link.
+/// Minimum time for which a stopping agent keeps answering `draining`, so that
+/// entries learn of the shutdown before their connections break.
 constexpr duration min_drain_time = seconds{1};
 
 } // namespace
 
-/// Everything of the process.
+/// Implementation of the agent process.
 struct agent_node::state
 {
     explicit state(const agent_settings& s)
@@ -43,19 +43,19 @@
     {
     }
 
-    agent_settings settings;                    ///< Checked.
-    asio::io_context control{1};                ///< The control thread.
-    rpc_loop traffic;                           ///< The traffic thread.
-    asio::signal_set signals;                   ///< SIGTERM and SIGINT.
-    supervisor root;                            ///< Of the supervisor tree.
-    std::unique_ptr<span_exporter> spans;       ///< May be null.
-    std::unique_ptr<rpc_listener> listener;     ///< Links from entries.
-    std::unique_ptr<http_server> admin;         ///< Metrics and health.
-    std::unique_ptr<http_runner_client> runner; ///< On the traffic thread.
-    std::unique_ptr<task_executor> executor;    ///< On the traffic thread.
-    std::unique_ptr<agent_service> service;     ///< On the traffic thread.
-    std::atomic<bool> stopping{false}; ///< A planned stop is under way.
-    int exit_status = 0;               ///< Of the process.
+    agent_settings settings;                ///< Validated settings.
+    asio::io_context control{1};            ///< Runs the control thread.
+    rpc_loop traffic;                       ///< Runs the traffic thread.
+    asio::signal_set signals;               ///< SIGTERM and SIGINT.
+    supervisor root;                        ///< Root of the supervisor tree.
+    std::unique_ptr<span_exporter> spans;   ///< May be null.
+    std::unique_ptr<rpc_listener> listener; ///< Accepts connections of entries.
+    std::unique_ptr<http_server> admin; ///< Serves metrics and health checks.
+    std::unique_ptr<http_runner_client> runner; ///< Traffic thread only.
+    std::unique_ptr<task_executor> executor;    ///< Traffic thread only.
+    std::unique_ptr<agent_service> service;     ///< Traffic thread only.
+    std::atomic<bool> stopping{false}; ///< A graceful shutdown is in progress.
+    int exit_status = 0;               ///< Exit status of the process.
 
     result<void> listen()
     {
@@ -136,8 +136,8 @@
             static_cast<std::size_t>(new_configuration.settings().runner_slots);
         executor->set_slots(configured_slots == 0 ? settings.executor.slots
                                                   : configured_slots);
-        // An agent reads its own drain from the configuration, so a drain
-        // needs no message of its own and holds whatever entries believe.
+        // Operator drains are part of the configuration. The agent enforces its
+        // own drain, even if an entry does not know of it yet.
         executor->drain(drain_cause::operator_request,
                         new_configuration.find(row_key(
                             row_kind::drain, settings.name)) != nullptr);
@@ -191,7 +191,9 @@
                    });
     }
 
-    /// Runs on the traffic thread until nothing is in flight.
+    /// Polls on the traffic thread until no task is in flight and the minimum
+    /// drain time has passed, then stops the process.
+    /// @param not_before End of the minimum drain time.
     void wait_for_idle(instant not_before)
     {
         if (executor->idle() && process_clock().now() >= not_before)
--- a/src/glenhollow/agent/agent_node.hpp
+++ b/src/glenhollow/agent/agent_node.hpp
@@ -15,38 +15,40 @@
 /// Settings of one agent process.
 struct agent_settings
 {
-    std::string name = "agent";          ///< The runner VM's name.
-    std::string hall = "hall";           ///< Where it stands.
-    std::string address = "127.0.0.1";   ///< Where to listen, IP number.
-    std::uint16_t port = 0;              ///< RPC; 0: the kernel picks.
-    std::uint16_t admin_port = 0;        ///< Metrics; 0: the kernel picks.
-    std::string port_file;               ///< Gets `RPC ADMIN`, if not empty.
-    host_port runner;                    ///< The runner beside it.
-    std::size_t max_connections = 64;    ///< To the runner, at once.
-    duration task_timeout = seconds{60}; ///< Of one call to the runner.
-    task_executor_settings executor;     ///< Slots, queue and memory.
-    std::string trace_file;              ///< Spans go here, if not empty.
+    std::string name = "agent";        ///< Name of the backend server's VM.
+    std::string hall = "hall";         ///< Hall of the VM.
+    std::string address = "127.0.0.1"; ///< IP address to listen on.
+    std::uint16_t port = 0;            ///< RPC port; 0 picks a free one.
+    std::uint16_t admin_port = 0;      ///< Admin HTTP port; 0 picks a free one.
+    std::string port_file;             ///< File for both ports; empty: none.
+    host_port runner;                  ///< Address of the backend server.
+    std::size_t max_connections = 64;  ///< Connections to the backend server.
+    duration task_timeout = seconds{60}; ///< Time limit of one task call.
+    task_executor_settings executor;     ///< Limits of slots, queue and memory.
+    std::string trace_file;              ///< File for trace spans; empty: none.
 };
 
-/// One agent process: a control thread with signals and the admin pages, and
-/// a traffic thread with the links and the runner.
+/// One agent process. Its control thread handles signals and the admin HTTP
+/// server; its traffic thread serves entries and calls the backend server.
 class agent_node final
 {
 public:
-    /// @param settings Checked settings.
-    /// @return The process, listening, or why it cannot.
+    /// Opens the trace file and the listening ports.
+    /// @param settings Validated settings.
+    /// @return The process, or the error that kept it from listening.
     static result<std::unique_ptr<agent_node>>
     create(const agent_settings& settings);
     ~agent_node();
 
-    /// Runs until a planned stop has ended or a part has failed.
-    /// @return The exit status.
+    /// Runs until a graceful shutdown has completed or a supervised task has
+    /// failed for good.
+    /// @return The exit status of the process.
     int run();
 
 private:
     struct state;
     explicit agent_node(std::unique_ptr<state> state);
-    std::unique_ptr<state> state_; ///< Keeps Asio and KJ out of headers.
+    std::unique_ptr<state> state_; ///< Hides Asio and KJ from the header.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/agent/agent_service.cpp
+++ b/src/glenhollow/agent/agent_service.cpp
@@ -17,7 +17,7 @@
 
 constexpr double seconds_per_microsecond = 1e-6;
 
-/// A living entry opens a lost session again within this time.
+/// Time within which a live entry reopens a lost session.
 constexpr duration reconnect_window = seconds{1};
 
 task_key to_key(wire::TaskKey::Reader key)
@@ -47,17 +47,17 @@
 
 } // namespace
 
-/// One start call: the ends of its tasks, answered together.
+/// The tasks of one start call, which share one reply.
 struct agent_service::batch
 {
-    std::vector<task_key> keys;               ///< In the order of the call.
-    std::vector<start_record> task_records;   ///< By place in keys.
-    std::shared_ptr<std::uint64_t> received;  ///< Starts of the session.
-    std::size_t pending = 0;                  ///< Tasks that have not ended.
-    kj::Own<kj::PromiseFulfiller<void>> done; ///< All have ended.
+    std::vector<task_key> keys;               ///< Tasks in request order.
+    std::vector<start_record> task_records;   ///< Outcomes, parallel to keys.
+    std::shared_ptr<std::uint64_t> received;  ///< Session's count of starts.
+    std::size_t pending = 0;                  ///< Number of unfinished tasks.
+    kj::Own<kj::PromiseFulfiller<void>> done; ///< Fulfilled by the last one.
 };
 
-/// One link of one entry shard.
+/// Serves the session of one entry shard.
 class agent_service::session_server final : public wire::AgentSession::Server
 {
 public:
@@ -126,8 +126,8 @@
         auto complete_task = [&service = service_, shared_batch,
                               index](const start_record& record)
         { service.complete_task(*shared_batch, index, record); };
-        // A copy that comes over a replaced link must not run: the newer link
-        // may have been told not_run for it.
+        // A start over a replaced session must not run: the entry may have
+        // received not_run for it over the newer session.
         if (!service_.is_current_session(key_, generation_))
         {
             ++service_.stats_.stale_starts;
@@ -150,15 +150,16 @@
                               std::move(complete_task));
     }
 
-    agent_service& service_;   ///< The agent.
-    session_key key_;          ///< Whose link it is.
-    std::uint64_t generation_; ///< Counts the links of the shard.
-    std::string id_prefix_;    ///< Submission id up to the sequence.
+    agent_service& service_;
+    session_key key_;          ///< Entry shard of the session.
+    std::uint64_t generation_; ///< Sequence number among the shard's sessions.
+    std::string id_prefix_;    ///< Submission id without its sequence.
+    /// Number of starts received over the session.
     std::shared_ptr<std::uint64_t> received_ =
-        std::make_shared<std::uint64_t>(0); ///< Starts that came over it.
+        std::make_shared<std::uint64_t>(0);
 };
 
-/// The agent's bootstrap interface.
+/// Serves the agent's bootstrap interface.
 class agent_service::agent_server final : public wire::Agent::Server
 {
 public:
@@ -235,7 +236,7 @@
     }
 
 private:
-    agent_service& service_; ///< The agent.
+    agent_service& service_;
 };
 
 agent_service::agent_service(const clock_source& clock, task_executor& executor,
@@ -283,17 +284,17 @@
     task.traceparent = agent_context.to_header();
     if (!spans_ || !agent_context.sampled)
         return executor_.start(std::move(task), std::move(done));
-    auto pending = std::make_shared<span>();
-    pending->name = "agent";
-    pending->context = agent_context;
-    pending->parent_id = parent->span_id;
-    pending->begin = wall_nanoseconds();
-    pending->attributes.push_back({"task", task.name});
+    auto agent_span = std::make_shared<span>();
+    agent_span->name = "agent";
+    agent_span->context = agent_context;
+    agent_span->parent_id = parent->span_id;
+    agent_span->begin = wall_nanoseconds();
+    agent_span->attributes.push_back({"task", task.name});
     executor_.start(
         std::move(task),
-        [this, pending, done = std::move(done)](const start_record& record)
+        [this, agent_span, done = std::move(done)](const start_record& record)
         {
-            write_spans(*pending, record);
+            write_spans(*agent_span, record);
             done(record);
         });
 }
@@ -306,7 +307,8 @@
     agent_span.attributes.push_back(
         {"reason", std::string(to_name(record.end.why))});
     spans_->write(agent_span);
-    // The runner itself writes no spans, so its hop is told from outside.
+    // The backend server writes no spans, so the agent records one for its
+    // call.
     span runner_span;
     runner_span.name = "runner";
     runner_span.context = agent_span.context.child();
@@ -345,8 +347,8 @@
     const auto last_heard = last_heard_.find(incarnation);
     if (last_heard == last_heard_.end())
         return false;
-    // A dead process leaves no session open; only a VM that vanished without
-    // a word does, and then its silence has to last.
+    // The death of a process closes its sessions. A VM that fails without
+    // closing connections leaves them open, so the longer window applies.
     const bool has_session =
         std::any_of(sessions_.begin(), sessions_.end(),
                     [&](const auto& item)
@@ -404,38 +406,41 @@
     const auto load = executor_.load();
     const auto& done = executor_.stats();
     const auto& table = executor_.table();
-    page.gauge("agent_slots", "Tasks the runner may have at once",
+    page.gauge("agent_slots",
+               "Tasks that the backend server may run concurrently",
                static_cast<double>(load.slots));
-    page.gauge("agent_running", "Tasks at the runner",
+    page.gauge("agent_running", "Tasks running at the backend server",
                static_cast<double>(load.running));
-    page.gauge("agent_queued", "Tasks that wait for a slot",
+    page.gauge("agent_queued", "Tasks waiting for a slot",
                static_cast<double>(load.queued));
-    page.gauge("agent_draining", "1 while new starts are refused",
+    page.gauge("agent_draining", "1 while new task starts are refused, else 0",
                load.draining ? 1 : 0);
-    page.gauge("agent_records", "Starts remembered",
+    page.gauge("agent_records", "Records of task starts",
                static_cast<double>(table.size()));
-    page.gauge("agent_record_bytes", "Bytes of remembered starts",
+    page.gauge("agent_record_bytes",
+               "Estimated bytes of the records of task starts",
                static_cast<double>(table.bytes()));
-    page.counter("agent_started_total", "Calls to the runner",
+    page.counter("agent_started_total", "Task calls sent to the backend server",
                  static_cast<double>(done.started));
-    page.counter("agent_ends_total", "Ends of tasks by verdict",
+    page.counter("agent_ends_total", "Ended tasks by verdict",
                  static_cast<double>(done.ran), R"(verdict="ran")");
-    page.counter("agent_ends_total", "Ends of tasks by verdict",
+    page.counter("agent_ends_total", "Ended tasks by verdict",
                  static_cast<double>(done.not_run), R"(verdict="not_run")");
-    page.counter("agent_ends_total", "Ends of tasks by verdict",
+    page.counter("agent_ends_total", "Ended tasks by verdict",
                  static_cast<double>(done.unknown),
                  R"(verdict="may_have_run")");
-    page.counter("agent_messages_total", "Calls received by kind",
+    page.counter("agent_messages_total", "RPC calls received by kind",
                  static_cast<double>(stats_.start_calls), R"(kind="start")");
-    page.counter("agent_messages_total", "Calls received by kind",
+    page.counter("agent_messages_total", "RPC calls received by kind",
                  static_cast<double>(stats_.pings), R"(kind="ping")");
-    page.counter("agent_messages_total", "Calls received by kind",
+    page.counter("agent_messages_total", "RPC calls received by kind",
                  static_cast<double>(stats_.hellos), R"(kind="hello")");
-    page.gauge("configuration_version", "Highest version in force here",
+    page.gauge("configuration_version", "Version of the configuration in use",
                static_cast<double>(configuration_.version()));
-    page.summary("agent_wait_seconds", "Time of tasks in the queue",
+    page.summary("agent_wait_seconds", "Queueing time of tasks in seconds",
                  wait_seconds_);
-    page.summary("agent_run_seconds", "Time of tasks at the runner",
+    page.summary("agent_run_seconds",
+                 "Run time of tasks at the backend server in seconds",
                  run_seconds_);
 }
 
--- a/src/glenhollow/agent/agent_service.hpp
+++ b/src/glenhollow/agent/agent_service.hpp
@@ -17,55 +17,55 @@
 namespace glenhollow
 {
 
-/// What came in over links and was not worth its message, by kind.
+/// Counters of the calls that an agent has received from entries.
 struct agent_service_stats
 {
-    std::uint64_t start_calls = 0;     ///< Calls that carried starts.
-    std::uint64_t starts = 0;          ///< Starts in them.
-    std::uint64_t pings = 0;           ///< Calls that carried none.
-    std::uint64_t hellos = 0;          ///< Sessions opened.
-    std::uint64_t fences = 0;          ///< Incarnations fenced.
-    std::uint64_t fences_declined = 0; ///< Fences declined.
-    std::uint64_t stale_starts = 0;    ///< Starts over a replaced link.
+    std::uint64_t start_calls = 0; ///< Calls of `start`.
+    std::uint64_t starts = 0;      ///< Task starts in these calls.
+    std::uint64_t pings = 0;       ///< Calls of `ping`.
+    std::uint64_t hellos = 0;      ///< Calls of `hello`; each opens a session.
+    std::uint64_t fences = 0;      ///< Entry incarnations fenced.
+    std::uint64_t fences_declined = 0; ///< Fences declined: entry alive.
+    std::uint64_t stale_starts = 0;    ///< Starts over a replaced session.
 };
 
-/// Names an entry's session: one link of one shard.
+/// Identifies the session of one entry shard.
 struct session_key
 {
-    std::uint64_t incarnation = 0; ///< The entry's start.
-    std::uint32_t shard = 0;       ///< The entry's traffic thread.
+    std::uint64_t incarnation = 0; ///< Incarnation of the entry process.
+    std::uint32_t shard = 0;       ///< Index of the entry's traffic thread.
 
     auto operator<=>(const session_key&) const = default;
 };
 
-/// The state behind an agent's RPC interface: its sessions, its executor and
-/// the configuration it was told. One thread.
+/// Implements an agent's RPC interface: sessions of entries, task starts,
+/// fencing, drain and configuration. Not thread-safe.
 class agent_service final
 {
 public:
-    /// Called when the configuration has become newer.
+    /// Called with the merged configuration after it has changed.
     using configuration_handler = std::function<void(const configuration&)>;
 
-    /// @param clock The agent's clock; outlives the service.
-    /// @param executor Runs the tasks; outlives the service.
-    /// @param incarnation Random number of this start of the agent.
-    /// @param spans Where spans go, or null.
-    /// @param configured Told of each newer configuration.
+    /// @param clock The agent's clock; must outlive the service.
+    /// @param executor Runs the tasks; must outlive the service.
+    /// @param incarnation Random number that identifies this agent process.
+    /// @param spans Receives trace spans; null disables tracing.
+    /// @param on_configuration Called after each configuration change.
     agent_service(const clock_source& clock, task_executor& executor,
                   std::uint64_t incarnation, span_exporter* spans,
                   configuration_handler on_configuration);
 
-    /// @return The RPC interface; it refers to this service.
+    /// @return The RPC bootstrap interface; it must not outlive the service.
     wire::Agent::Client bootstrap();
 
-    /// Forgets entries that have been silent for long.
-    /// @param retention Longer than their starts are remembered.
+    /// Discards the last contact time of entries that have been silent longer
+    /// than the retention period.
+    /// @param retention Retention period; at least that of the start records.
     void tick(duration retention);
 
-    /// @param page Gets the metrics of this service.
+    /// Adds the metrics of the service and its executor to a page.
     void collect(metric_page& page) const;
 
-    /// @return Counters.
     const agent_service_stats& stats() const { return stats_; }
 
 private:
@@ -87,17 +87,19 @@
     bool is_current_session(const session_key& key,
                             std::uint64_t generation) const;
 
-    const clock_source& clock_;              ///< The agent's clock.
-    task_executor& executor_;                ///< Runs the tasks.
-    std::uint64_t incarnation_;              ///< This start of the agent.
+    const clock_source& clock_;
+    task_executor& executor_;
+    std::uint64_t incarnation_;              ///< Identifies this agent process.
     span_exporter* spans_;                   ///< May be null.
-    configuration_handler on_configuration_; ///< Told of newer configurations.
-    configuration configuration_;            ///< Newest seen.
-    std::map<session_key, std::uint64_t> sessions_; ///< Newest generations.
-    std::unordered_map<std::uint64_t, instant> last_heard_; ///< By incarnation.
-    agent_service_stats stats_;                             ///< Counters.
-    latency_summary wait_seconds_; ///< Time of tasks in the queue.
-    latency_summary run_seconds_;  ///< Time of tasks at the runner.
+    configuration_handler on_configuration_; ///< Called after each change.
+    configuration configuration_;            ///< Merged from all received.
+    /// Newest generation of each session.
+    std::map<session_key, std::uint64_t> sessions_;
+    /// Time of the last call of each entry incarnation.
+    std::unordered_map<std::uint64_t, instant> last_heard_;
+    agent_service_stats stats_;
+    latency_summary wait_seconds_; ///< Queueing time of tasks.
+    latency_summary run_seconds_;  ///< Run time of tasks at the backend server.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/agent/runner_client.cpp
+++ b/src/glenhollow/agent/runner_client.cpp
@@ -45,7 +45,7 @@
     auto& response = call_result.response;
     if (response.status == status_ok)
     {
-        // A result that is not JSON travels as a JSON string.
+        // Encode a result that is not JSON as a JSON string.
         if (!is_json(response.body))
             response.body =
                 boost::json::serialize(boost::json::value(response.body));
@@ -74,17 +74,18 @@
         new http_runner_client(io, settings));
 }
 
-void http_runner_client::call(runner_request call, handler done)
+void http_runner_client::call(runner_request request, handler done)
 {
     http_request message;
     message.method = "POST";
     message.target = "/task";
-    message.headers = {{"Glenhollow-Task", std::move(call.task)},
-                       {"Glenhollow-Team", std::move(call.team)},
+    message.headers = {{"Glenhollow-Task", std::move(request.task)},
+                       {"Glenhollow-Team", std::move(request.team)},
                        {"Content-Type", "application/json"}};
-    if (!call.traceparent.empty())
-        message.headers.push_back({"traceparent", std::move(call.traceparent)});
-    message.body = std::move(call.payload);
+    if (!request.traceparent.empty())
+        message.headers.push_back(
+            {"traceparent", std::move(request.traceparent)});
+    message.body = std::move(request.payload);
     client_->send(std::move(message),
                   [done = std::move(done)](http_result call_result)
                   { done(classify_result(std::move(call_result))); });
--- a/src/glenhollow/agent/runner_client.hpp
+++ b/src/glenhollow/agent/runner_client.hpp
@@ -14,64 +14,65 @@
 namespace glenhollow
 {
 
-/// A task as the runner gets it.
+/// A task to be sent to the backend server.
 struct runner_request
 {
-    std::string task;        ///< `<submission>/<n>`.
-    std::string team;        ///< Whose it is.
-    std::string traceparent; ///< W3C trace context, may be empty.
-    std::string payload;     ///< JSON text.
+    std::string task;        ///< Task name, `<submission>/<n>`.
+    std::string team;        ///< Client account that owns the task.
+    std::string traceparent; ///< W3C trace context; may be empty.
+    std::string payload;     ///< Input of the task, JSON text.
 };
 
-/// How a task ended at the runner.
+/// Outcome of a task that was sent to the backend server.
 struct runner_response
 {
-    outcome_of_task end; ///< Whether it ran, and why not.
-    std::string body;    ///< The result, JSON text, when it ran.
+    outcome_of_task end; ///< Verdict and the reason of a failure.
+    std::string body;    ///< Result as JSON text if the task ran.
 };
 
-/// Hands tasks to the runner beside the agent; faked in tests.
+/// Sends tasks to the backend server beside the agent; tests use a fake.
 class runner_client
 {
 public:
-    /// Called once with the end of the task.
+    /// Called exactly once with the outcome of the task.
     using handler = std::function<void(runner_response)>;
 
     virtual ~runner_client() = default;
 
-    /// @param call The task.
-    /// @param done Called when it has ended or nobody can say.
-    virtual void call(runner_request call, handler done) = 0;
+    /// Sends a task. Calls the handler also if the outcome is unknown.
+    virtual void call(runner_request request, handler done) = 0;
 
-    /// @param done Told whether the runner takes connections.
+    /// Tests whether the backend server accepts connections.
+    /// @param done Called with true if it does.
     virtual void probe(std::function<void(bool)> done) = 0;
 };
 
-/// Judges the end of an HTTP call to a runner.
-/// @param end What the HTTP client saw.
-/// @return The verdict with its reason, and the result when it ran.
-runner_response classify_result(http_result end);
+/// Derives a task's verdict from the result of the HTTP call. A call without a
+/// response counts as may_have_run if any byte of the request may have left.
+/// @param call_result Result of the HTTP call; its response body is moved from.
+/// @return The verdict with its reason, and the result if the task ran.
+runner_response classify_result(http_result call_result);
 
-/// Calls the runner over HTTP on loopback.
+/// Calls the backend server over HTTP.
 class http_runner_client final : public runner_client
 {
 public:
-    /// @param io Runs the calls.
-    /// @param settings The runner's address, connections and time limit.
-    /// @return A caller; it connects when first used.
+    /// @param io Runs the calls; must outlive the client.
+    /// @param settings Address, connection limit and timeouts.
+    /// @return A client; it connects on first use.
     static std::unique_ptr<http_runner_client>
     create(boost::asio::io_context& io, const http_client_settings& settings);
 
-    void call(runner_request call, handler done) override;
+    void call(runner_request request, handler done) override;
     void probe(std::function<void(bool)> done) override;
 
 private:
     http_runner_client(boost::asio::io_context& io,
                        const http_client_settings& settings);
 
-    boost::asio::io_context& io_;         ///< Runs the calls.
-    host_port runner_;                    ///< Where the runner listens.
-    std::unique_ptr<http_client> client_; ///< Its connections.
+    boost::asio::io_context& io_;
+    host_port runner_; ///< Address of the backend server.
+    std::unique_ptr<http_client> client_;
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/agent/start_table.cpp
+++ b/src/glenhollow/agent/start_table.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-/// Bytes of a record besides its result: the map node, the age entry and the
-/// allocator's overhead.
+/// Estimated size in bytes of a record without its result: map node, age entry
+/// and allocator overhead.
 constexpr std::size_t record_overhead = 192;
 
 } // namespace
@@ -25,7 +25,7 @@
                                   const task_key& key, instant begin_by,
                                   instant now, const job_info& job)
 {
-    // A start that is known is answered from memory, fenced or not drained.
+    // Duplicates are answered from the record, even while fenced or draining.
     if (const auto* existing = find(incarnation, key))
     {
         const bool done = existing->at == start_record::stage::done;
@@ -39,8 +39,8 @@
     if (bytes_ + record_overhead > settings_.max_bytes)
         return refuse(reason::memory_full);
 
-    // A refusal is recorded too: a copy of this start that is still on its
-    // way must not run after the coordinator was told not_run.
+    // Record the refusal: a duplicate that arrives later must not run after
+    // the entry has received not_run.
     reason why = reason::none;
     if (draining_)
         why = reason::draining;
@@ -119,7 +119,8 @@
     if (!existing || existing->at != start_record::stage::done)
         return;
     erase(incarnation, key);
-    // Results are acknowledged nearly in order, so this keeps the list short.
+    // Results are acknowledged in nearly the order of their starts, so trimming
+    // the front keeps the queue short.
     while (!by_age_.empty() &&
            !find(by_age_.front().incarnation, by_age_.front().key))
         by_age_.pop_front();
@@ -170,12 +171,12 @@
         const auto entry = by_age_.front();
         by_age_.pop_front();
         const auto* existing = find(entry.incarnation, entry.key);
-        // The age entry of an acknowledged record points at nothing.
+        // The record was acknowledged or replaced by a newer one.
         if (!existing || existing->recorded_at != entry.recorded_at)
             continue;
         if (existing->at != start_record::stage::done)
         {
-            // A task this old still runs: look again much later.
+            // The task is unfinished: keep its record for another period.
             by_age_.push_back({now, entry.incarnation, entry.key});
             find_mutable(entry.incarnation, entry.key)->recorded_at = now;
             continue;
--- a/src/glenhollow/agent/task_executor.cpp
+++ b/src/glenhollow/agent/task_executor.cpp
@@ -55,8 +55,8 @@
     const bool slot_free = running_ < settings_.slots;
     if (!slot_free && queue_.size() >= settings_.max_queued)
         return refuse_queued(key, reason::agent_queue_full);
-    // A job with little work left goes first; with its age every task comes
-    // to the front in the end.
+    // Jobs with the least remaining work run first. The arrival time in the
+    // key keeps tasks of large jobs from starving.
     const double sort_key =
         start.rank +
         settings_.aging_rate * std::chrono::duration<double>(now).count();
@@ -104,8 +104,7 @@
     record.body = std::move(response.body);
     record.wait_micros = wait_micros;
     record.run_micros = micros(run_time);
-    // The slot is filled again first, so that the load that rides on the
-    // answer is what is left.
+    // Refill the slot first, so that the reply reports the resulting load.
     run_queued();
     finish_task(key, std::move(record));
 }
--- a/src/glenhollow/agent/task_executor.hpp
+++ b/src/glenhollow/agent/task_executor.hpp
@@ -19,124 +19,124 @@
 namespace glenhollow
 {
 
-/// Limits of the work an agent takes.
+/// Limits of a task executor.
 struct task_executor_settings
 {
-    std::size_t slots = 8;       ///< Tasks at the runner at once.
+    std::size_t slots = 8;       ///< Tasks that run concurrently.
     std::size_t max_queued = 64; ///< Accepted tasks that wait for a slot.
-    double aging_rate = 0.25;    ///< Rank that a second of waiting is worth.
-    std::size_t unreachable_threshold = 2; ///< Refused connections in a row.
-    start_table_settings table;            ///< Limits of the memory of starts.
+    /// Rank that offsets one second of waiting; keeps tasks from starving.
+    double aging_rate = 0.25;
+    /// Consecutive connection failures after which the backend server counts
+    /// as unreachable.
+    std::size_t unreachable_threshold = 2;
+    start_table_settings table; ///< Limits of the start table.
 };
 
-/// A start as it came over a link.
+/// A task start as received from an entry.
 struct task_start
 {
-    std::uint64_t incarnation = 0; ///< Entry incarnation that sends it.
-    task_key key;                  ///< Which task.
-    std::string name;              ///< `<submission>/<n>` for the runner.
-    instant begin_by{};            ///< Latest begin, on this agent's clock.
-    std::string team;              ///< Whose it is.
-    std::string traceparent;       ///< W3C trace context, may be empty.
-    std::string payload;           ///< JSON text.
-    job_info job;                  ///< Of the job it belongs to.
-    double rank = 0;               ///< Smaller goes first, s of work left.
+    std::uint64_t incarnation = 0; ///< Entry incarnation that sent it.
+    task_key key;                  ///< Task within the incarnation.
+    std::string name;              ///< Task name, `<submission>/<n>`.
+    instant begin_by{};            ///< Latest start time on the agent's clock.
+    std::string team;              ///< Client account that owns the task.
+    std::string traceparent;       ///< W3C trace context; may be empty.
+    std::string payload;           ///< Input of the task, JSON text.
+    job_info job;                  ///< Job of the task.
+    double rank = 0; ///< Remaining work in s; lower ranks run first.
 };
 
-/// How busy an agent is.
+/// Load of an agent.
 struct executor_load
 {
-    std::size_t slots = 0;    ///< Tasks it can run at once.
-    std::size_t running = 0;  ///< Tasks at the runner.
-    std::size_t queued = 0;   ///< Tasks that wait for a slot.
-    bool draining = false;    ///< It refuses new starts.
-    bool unreachable = false; ///< Its runner takes no connections.
+    std::size_t slots = 0;    ///< Tasks that can run concurrently.
+    std::size_t running = 0;  ///< Tasks at the backend server.
+    std::size_t queued = 0;   ///< Tasks waiting for a slot.
+    bool draining = false;    ///< New starts are refused.
+    bool unreachable = false; ///< The backend server accepts no connections.
 };
 
-/// Who can want an agent to drain.
+/// Causes of a drain, which are set and cleared independently.
 enum class drain_cause : std::uint8_t
 {
-    stopping,        ///< The process was told to stop.
-    vm_leaving,      ///< The platform's list says the VM is leaving.
-    operator_request ///< An operator drained the runner.
+    stopping,        ///< The process is shutting down.
+    vm_leaving,      ///< The platform reports that the VM is leaving.
+    operator_request ///< An operator drained the backend server.
 };
 
-/// Counters of an executor.
+/// Counters of a task executor.
 struct task_executor_stats
 {
-    std::uint64_t started = 0; ///< Calls to the runner.
-    std::uint64_t ran = 0;     ///< Tasks that ran to their end.
-    std::uint64_t not_run = 0; ///< Refusals after acceptance or before.
-    std::uint64_t unknown = 0; ///< Ends of which nobody can say.
-    double busy_seconds = 0;   ///< Sum of the time at the runner.
+    std::uint64_t started = 0; ///< Calls to the backend server.
+    std::uint64_t ran = 0;     ///< Tasks with the verdict ran.
+    std::uint64_t not_run = 0; ///< Tasks with the verdict not_run.
+    std::uint64_t unknown = 0; ///< Tasks with the verdict may_have_run.
+    double busy_seconds = 0;   ///< Total run time at the backend server.
 };
 
-/// Runs accepted tasks on the slots of one runner. Checks fence, drain and
-/// begin time right before each call. One thread; no I/O of its own.
+/// Queues accepted tasks and runs them in the slots of one backend server.
+/// Checks fence, drain and latest start time again right before each call.
+/// Performs no I/O itself; not thread-safe.
 class task_executor final
 {
 public:
-    /// Called once with the end of a task; the record may be dropped after.
+    /// Called once with the outcome of a task. The record is valid during the
+    /// call only.
     using handler = std::function<void(const start_record&)>;
 
-    /// @param clock The agent's clock; outlives the executor.
-    /// @param runner Calls the runner; outlives the executor.
-    /// @param settings Limits.
+    /// The clock and the backend server's client must outlive the executor.
     task_executor(const clock_source& clock, runner_client& runner,
                   const task_executor_settings& settings);
 
-    /// Takes a start; a repeat of a known one joins it or gets its end.
-    /// @param start What to run.
-    /// @param done Called with its end, perhaps at once.
+    /// Starts or queues a task. A duplicate of a recorded start does not run
+    /// again: it gets the outcome of the first one. The handler may be called
+    /// before this returns.
     void start(task_start start, handler done);
 
-    /// Refuses new starts and those that still wait for a slot, as long as
-    /// anyone wants it.
-    /// @param who Who wants it, or no longer does.
-    /// @param on Whether to refuse.
+    /// Sets or clears a cause of a drain. While any cause is set, new starts
+    /// and tasks that wait for a slot are refused.
     void drain(drain_cause cause, bool on);
 
-    /// Refuses all that an entry incarnation sends or has waiting.
-    /// @param incarnation The incarnation that is adopted.
+    /// Refuses the queued and all further starts of an entry incarnation, as
+    /// another entry adopts its jobs.
     void fence(std::uint64_t incarnation);
 
     /// Changes the number of slots.
-    /// @param slots Tasks at the runner at once, 1 or more.
+    /// @param slots Tasks that run concurrently, at least 1.
     void set_slots(std::size_t slots);
 
-    /// Drops old records and asks after a runner that took no connections.
+    /// Expires old records and probes an unreachable backend server.
     void tick();
 
-    /// @return How busy it is.
+    /// @return Current load.
     executor_load load() const;
 
-    /// @return The memory of starts.
+    /// @return Table of recorded starts.
     start_table& table() { return table_; }
 
-    /// @return Whether nothing runs and nothing waits.
+    /// @return Whether no task runs or waits for a slot.
     bool idle() const { return running_ == 0 && queue_.empty(); }
 
-    /// @return Counters.
     const task_executor_stats& stats() const { return stats_; }
 
 private:
     /// An accepted start that waits for a slot.
     struct queued_start
     {
-        task_start start;    ///< What to run.
-        instant queued_at{}; ///< When it was accepted.
+        task_start start;
+        instant queued_at{}; ///< Time of acceptance.
     };
 
-    /// Names a task of any entry.
+    /// Identifies a task across entry incarnations.
     struct entry_task_key
     {
-        std::uint64_t incarnation = 0; ///< Whose it is.
-        task_key key;                  ///< Which it is.
+        std::uint64_t incarnation = 0; ///< Incarnation of the entry.
+        task_key key;                  ///< Task within the incarnation.
 
         bool operator==(const entry_task_key&) const = default;
     };
 
-    /// Hashes a global key.
+    /// Hash of an entry_task_key.
     struct entry_task_key_hash
     {
         std::size_t operator()(const entry_task_key& key) const
@@ -153,19 +153,20 @@
     void finish_task(const entry_task_key& key, start_record record);
     void record_outcome(const outcome_of_task& end);
 
-    const clock_source& clock_;                 ///< The agent's clock.
-    runner_client& runner_;                     ///< Calls the runner.
-    task_executor_settings settings_;           ///< Limits.
-    start_table table_;                         ///< The memory of starts.
-    std::multimap<double, queued_start> queue_; ///< By rank and age.
+    const clock_source& clock_;
+    runner_client& runner_;
+    task_executor_settings settings_;
+    start_table table_;
+    std::multimap<double, queued_start> queue_; ///< Sorted by rank and age.
+    /// Handlers that wait for the outcome of a task.
     std::unordered_map<entry_task_key, std::vector<handler>,
                        entry_task_key_hash>
-        result_handlers_;                     ///< Whom to tell of each end.
-    std::set<drain_cause> drain_causes_;      ///< Who wants it to drain.
-    std::size_t running_ = 0;                 ///< Tasks at the runner.
-    std::size_t consecutive_unreachable_ = 0; ///< Refused connections in a row.
-    bool probing_ = false;                    ///< A probe is under way.
-    task_executor_stats stats_;               ///< Counters.
+        result_handlers_;
+    std::set<drain_cause> drain_causes_;      ///< Causes that are set.
+    std::size_t running_ = 0;                 ///< Tasks at the backend server.
+    std::size_t consecutive_unreachable_ = 0; ///< Failed connections in a row.
+    bool probing_ = false;                    ///< A probe is in flight.
+    task_executor_stats stats_;
 };
 
 } // namespace glenhollow
--- a/tests/unit/agent/fake_runner.hpp
+++ b/tests/unit/agent/fake_runner.hpp
@@ -11,15 +11,15 @@
 namespace glenhollow
 {
 
-/// A runner whose tasks end when the test says so.
+/// A backend server whose tasks end when the test calls finish_call().
 class fake_runner final : public runner_client
 {
 public:
-    void call(runner_request call, handler done) override
+    void call(runner_request request, handler done) override
     {
-        ++call_counts[call.task];
-        call_order.push_back(call.task);
-        running.emplace(call.task, std::move(done));
+        ++call_counts[request.task];
+        call_order.push_back(request.task);
+        running.emplace(request.task, std::move(done));
     }
 
     void probe(std::function<void(bool)> done) override
@@ -28,7 +28,7 @@
         done(reachable);
     }
 
-    /// Ends a task.
+    /// Completes the call of a running task.
     void finish_call(const std::string& task, verdict what,
                      reason why = reason::none, const std::string& body = "0")
     {
@@ -37,11 +37,11 @@
         done({{what, why}, body});
     }
 
-    std::map<std::string, int> call_counts; ///< By task.
-    std::map<std::string, handler> running; ///< Without an end.
-    std::deque<std::string> call_order;     ///< Of the starts.
-    int probes = 0;                         ///< Asked for.
-    bool reachable = true;                  ///< What probes are told.
+    std::map<std::string, int> call_counts; ///< Number of calls by task.
+    std::map<std::string, handler> running; ///< Handlers of unfinished calls.
+    std::deque<std::string> call_order;     ///< Tasks in call order.
+    int probes = 0;                         ///< Number of probes.
+    bool reachable = true;                  ///< Result of probes.
 };
 
 } // namespace glenhollow
--- a/tests/unit/agent/runner_client_tests.cpp
+++ b/tests/unit/agent/runner_client_tests.cpp
@@ -17,7 +17,8 @@
 namespace
 {
 
-/// A server that takes one request and answers with given bytes, or hangs up.
+/// A server that answers one request with given bytes and then closes the
+/// connection or keeps it open.
 struct raw_runner
 {
     asio::io_context io{1};
@@ -63,7 +64,7 @@
 
 } // namespace
 
-TEST_CASE("a whole 200 answer is the result")
+TEST_CASE("a complete 200 response yields the result")
 {
     raw_runner runner;
     const auto answer =
@@ -74,7 +75,7 @@
     REQUIRE(runner.input.find("Glenhollow-Team: desk") != std::string::npos);
 }
 
-TEST_CASE("half an answer may have run")
+TEST_CASE("a truncated response yields may_have_run")
 {
     raw_runner runner;
     const auto answer = runner.exchange(
@@ -83,13 +84,13 @@
     REQUIRE(answer.end.why == reason::runner_broken);
 }
 
-TEST_CASE("a connection closed after the request may have run")
+TEST_CASE("a connection closed after the request yields may_have_run")
 {
     raw_runner runner;
     REQUIRE(runner.exchange("").end.what == verdict::may_have_run);
 }
 
-TEST_CASE("a runner that hangs may have run")
+TEST_CASE("a response timeout yields may_have_run")
 {
     raw_runner runner;
     const auto answer = runner.exchange("", true, milliseconds{50});
@@ -97,7 +98,7 @@
     REQUIRE(answer.end.why == reason::runner_timeout);
 }
 
-TEST_CASE("a runner that takes no connection did not run")
+TEST_CASE("a refused connection yields not_run")
 {
     raw_runner runner;
     http_client_settings settings;
@@ -108,7 +109,7 @@
     REQUIRE(answer.end.why == reason::runner_unreachable);
 }
 
-TEST_CASE("503 says not_run only with its header")
+TEST_CASE("a 503 response yields not_run only with the verdict header")
 {
     raw_runner runner;
     REQUIRE(runner
@@ -120,7 +121,7 @@
                 .end.what == verdict::may_have_run);
 }
 
-TEST_CASE("a result that is not JSON travels as a JSON string")
+TEST_CASE("a result that is not JSON is encoded as a JSON string")
 {
     raw_runner runner;
     REQUIRE(runner.exchange("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc")
--- a/tests/unit/agent/start_table_tests.cpp
+++ b/tests/unit/agent/start_table_tests.cpp
@@ -20,7 +20,7 @@
     return record;
 }
 
-/// A table with a clock that the test moves.
+/// A start table with a clock that the test advances.
 struct fixture
 {
     manual_clock clock;
@@ -47,7 +47,7 @@
 
 } // namespace
 
-TEST_CASE("a start is accepted once; repeats join it or get its end")
+TEST_CASE("a start is accepted once; duplicates join it or get its outcome")
 {
     fixture f;
     REQUIRE(f.begin(entry_a, first_task).chosen_action == action::accept);
@@ -59,14 +59,14 @@
     REQUIRE(f.table.find(entry_a, first_task)->body == "7");
 }
 
-TEST_CASE("the same key of two incarnations is two tasks")
+TEST_CASE("equal keys of two entry incarnations are separate tasks")
 {
     fixture f;
     REQUIRE(f.begin(entry_a, first_task).chosen_action == action::accept);
     REQUIRE(f.begin(entry_b, first_task).chosen_action == action::accept);
 }
 
-TEST_CASE("a refused start stays refused for copies that come later")
+TEST_CASE("a duplicate of a refused start does not run later")
 {
     fixture f;
     f.table.set_draining(true);
@@ -77,7 +77,9 @@
     REQUIRE(f.table.find(entry_a, first_task)->end.what == verdict::not_run);
 }
 
-TEST_CASE("a start past its time is refused on arrival and before the run")
+TEST_CASE(
+    "a start is refused after its latest start time, on arrival and before "
+    "the run")
 {
     fixture f;
     const auto late = f.table.begin(entry_a, first_task, f.clock.now(),
@@ -88,13 +90,13 @@
     REQUIRE(
         f.table.begin(entry_a, second, begin_by, f.clock.now()).chosen_action ==
         action::accept);
-    // The process was paused between acceptance and the call.
+    // The process is paused between acceptance and the call.
     f.clock.advance(seconds{2});
     REQUIRE(f.table.check_before_run(entry_a, second, begin_by,
                                      f.clock.now()) == reason::start_expired);
 }
 
-TEST_CASE("a fenced incarnation starts nothing, its records stay")
+TEST_CASE("a fenced entry incarnation starts no task and its records are kept")
 {
     fixture f;
     REQUIRE(f.begin(entry_a, first_task).chosen_action == action::accept);
@@ -110,7 +112,7 @@
     REQUIRE(f.begin(entry_a, done).chosen_action == action::replay);
 }
 
-TEST_CASE("a full table refuses and forgets nothing")
+TEST_CASE("a full table refuses new starts and evicts no record")
 {
     start_table_settings small;
     small.max_bytes = 1000;
@@ -121,14 +123,14 @@
     REQUIRE(accepted > 0);
     REQUIRE(f.begin(entry_a, {1, accepted}).why == reason::memory_full);
     REQUIRE(f.begin(entry_a, {1, 0}).chosen_action == action::join);
-    // An acknowledged result makes room.
+    // Acknowledging a result frees its memory.
     f.run(entry_a, {1, 0});
     f.table.finish(entry_a, {1, 0}, ran(""));
     f.table.acknowledge(entry_a, {1, 0});
     REQUIRE(f.begin(entry_a, {1, accepted}).chosen_action == action::accept);
 }
 
-TEST_CASE("only ended tasks are acknowledged away")
+TEST_CASE("an acknowledgement erases records of ended tasks only")
 {
     fixture f;
     f.begin(entry_a, first_task);
@@ -142,7 +144,7 @@
     REQUIRE(f.table.bytes() == 0);
 }
 
-TEST_CASE("records expire by age, running ones never")
+TEST_CASE("records of ended tasks expire, those of running tasks do not")
 {
     fixture f;
     f.begin(entry_a, first_task);
--- a/tests/unit/agent/task_executor_tests.cpp
+++ b/tests/unit/agent/task_executor_tests.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::uint64_t entry_a = 11;
 
-/// An executor over a fake runner.
+/// An executor with a fake backend server.
 struct fixture
 {
     manual_clock clock;
@@ -53,7 +53,8 @@
 
 } // namespace
 
-TEST_CASE("tasks beyond the slots wait, beyond the queue are refused")
+TEST_CASE(
+    "tasks wait while all slots are busy and are refused if the queue is full")
 {
     fixture f;
     for (std::uint32_t i = 0; i < 5; ++i)
@@ -62,24 +63,24 @@
     REQUIRE(f.executor.load().queued == 2);
     REQUIRE(f.records["s/4"].front().end.why == reason::agent_queue_full);
     REQUIRE(f.records["s/4"].front().end.what == verdict::not_run);
-    f.runner.end("s/0", verdict::ran);
+    f.runner.finish_call("s/0", verdict::ran);
     REQUIRE(f.records["s/0"].front().end.what == verdict::ran);
     REQUIRE(f.runner.running.contains("s/2"));
 }
 
-TEST_CASE("a repeated start runs once and both callers are told")
+TEST_CASE("duplicate starts run once and all get the outcome")
 {
     fixture f;
     f.start(0);
     f.start(0);
-    f.runner.end("s/0", verdict::ran, reason::none, "42");
+    f.runner.finish_call("s/0", verdict::ran, reason::none, "42");
     f.start(0);
     REQUIRE(f.runner.call_counts["s/0"] == 1);
     REQUIRE(f.records["s/0"].size() == 3);
     REQUIRE(f.records["s/0"].back().body == "42");
 }
 
-TEST_CASE("a drain refuses what waits and what comes, lets the rest end")
+TEST_CASE("a drain refuses queued and new tasks and lets running ones finish")
 {
     fixture f;
     for (std::uint32_t i = 0; i < 3; ++i)
@@ -88,13 +89,13 @@
     REQUIRE(f.records["s/2"].front().end.why == reason::draining);
     f.start(3);
     REQUIRE(f.records["s/3"].front().end.why == reason::draining);
-    f.runner.end("s/0", verdict::ran);
-    f.runner.end("s/1", verdict::ran);
+    f.runner.finish_call("s/0", verdict::ran);
+    f.runner.finish_call("s/1", verdict::ran);
     REQUIRE(f.executor.idle());
     REQUIRE(f.runner.call_counts.size() == 2);
 }
 
-TEST_CASE("a drain lasts as long as anyone wants it")
+TEST_CASE("a drain lasts until every cause is cleared")
 {
     fixture f;
     f.executor.drain(drain_cause::operator_request, true);
@@ -105,18 +106,18 @@
     REQUIRE_FALSE(f.executor.load().draining);
 }
 
-TEST_CASE("a start that waited past its time is not run")
+TEST_CASE("a queued task does not run after its latest start time")
 {
     fixture f(1);
     f.start(0);
     f.start(1, entry_a, seconds{1});
     f.clock.advance(seconds{2});
-    f.runner.end("s/0", verdict::ran);
+    f.runner.finish_call("s/0", verdict::ran);
     REQUIRE(f.records["s/1"].front().end.why == reason::start_expired);
     REQUIRE_FALSE(f.runner.call_counts.contains("s/1"));
 }
 
-TEST_CASE("a fence refuses what waits of one incarnation only")
+TEST_CASE("a fence refuses queued tasks of the fenced incarnation only")
 {
     fixture f(1, 4);
     f.start(0);
@@ -124,19 +125,20 @@
     f.start(2, 22);
     f.executor.fence(entry_a);
     REQUIRE(f.records["s/1"].front().end.why == reason::fenced);
-    f.runner.end("s/0", verdict::ran);
+    f.runner.finish_call("s/0", verdict::ran);
     REQUIRE(f.runner.running.contains("s/2"));
 }
 
-TEST_CASE("a runner that takes no connections is shunned and probed")
+TEST_CASE("a backend server that accepts no connections counts as unreachable "
+          "until a probe succeeds")
 {
     fixture f;
     f.runner.reachable = false;
     for (std::uint32_t i = 0; i < 2; ++i)
     {
         f.start(i);
-        f.runner.end(fixture::name(i), verdict::not_run,
-                     reason::runner_unreachable);
+        f.runner.finish_call(fixture::name(i), verdict::not_run,
+                             reason::runner_unreachable);
     }
     REQUIRE(f.executor.load().unreachable);
     f.executor.tick();
