--- a/src/glenhollow/entry/adopted_answers.cpp
+++ b/src/glenhollow/entry/adopted_answers.cpp
@@ -21,7 +21,8 @@
     return submission_id{hall_, entry_, incarnation_, sequence}.to_string();
 }
 
-void adopted_answers::keep(const std::vector<coordinator::kept_answer>& answers)
+void adopted_answers::add_kept_answers(
+    const std::vector<coordinator::kept_answer>& answers)
 {
     for (const auto& one : answers)
         kept_.insert_or_assign(one.sequence, one);
@@ -56,7 +57,7 @@
     const auto& job = found->second;
     if (body_hash && *body_hash != job.body_hash)
         return body_conflict().to_answer();
-    if (!job.whole())
+    if (!job.is_complete())
         return failed_answer(id_text(sequence), verdict::may_have_run,
                              reason::entry_lost);
     std::vector<std::string> results;
@@ -65,11 +66,11 @@
     return complete_answer(id_text(sequence), results);
 }
 
-std::size_t adopted_answers::whole_jobs() const
+std::size_t adopted_answers::complete_jobs() const
 {
-    return static_cast<std::size_t>(
-        std::count_if(jobs_.begin(), jobs_.end(),
-                      [](const auto& one) { return one.second.whole(); }));
+    return static_cast<std::size_t>(std::count_if(
+        jobs_.begin(), jobs_.end(),
+        [](const auto& one) { return one.second.is_complete(); }));
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/adopted_answers.hpp
+++ b/src/glenhollow/entry/adopted_answers.hpp
@@ -44,7 +44,7 @@
     }
 
     /// @param answers That the entry handed over.
-    void keep(const std::vector<coordinator::kept_answer>& answers);
+    void add_kept_answers(const std::vector<coordinator::kept_answer>& answers);
 
     /// @param records That an agent remembers.
     void add(const std::vector<fenced_record>& records);
@@ -59,18 +59,21 @@
     std::size_t jobs() const { return jobs_.size() + kept_.size(); }
 
     /// @return How many of the jobs found at agents are whole.
-    std::size_t whole_jobs() const;
+    std::size_t complete_jobs() const;
 
 private:
     /// A job put together from what agents remember.
-    struct found_job
+    struct partial_job
     {
         std::uint64_t body_hash = 0;                  ///< Of its body.
         std::uint32_t tasks = 0;                      ///< All of them.
         std::map<std::uint32_t, std::string> results; ///< By task.
 
         /// @return Whether the results of all tasks are there.
-        bool whole() const { return tasks > 0 && results.size() == tasks; }
+        bool is_complete() const
+        {
+            return tasks > 0 && results.size() == tasks;
+        }
     };
 
     std::string id_text(std::uint64_t sequence) const;
@@ -80,7 +83,7 @@
     std::uint64_t incarnation_; ///< Its start.
     std::unordered_map<std::uint64_t, coordinator::kept_answer>
         kept_; ///< Handed over, by sequence.
-    std::unordered_map<std::uint64_t, found_job> jobs_; ///< By sequence.
+    std::unordered_map<std::uint64_t, partial_job> jobs_; ///< By sequence.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/agent_control.cpp
+++ b/src/glenhollow/entry/agent_control.cpp
@@ -55,44 +55,44 @@
 
 agent_control::~agent_control() = default;
 
-void agent_control::begin(const std::shared_ptr<call>& fresh)
+void agent_control::start_or_queue(const std::shared_ptr<call>& new_call)
 {
-    if (open_.size() >= settings_.at_once)
+    if (active_.size() >= settings_.max_concurrent_calls)
     {
-        waiting_.push_back(fresh);
+        waiting_.push_back(new_call);
         return;
     }
-    connect(fresh);
+    connect(new_call);
 }
 
-void agent_control::connect(const std::shared_ptr<call>& fresh)
+void agent_control::connect(const std::shared_ptr<call>& new_call)
 {
-    ++calls_made_;
-    open_.push_back(fresh);
-    fresh->timer.expires_after(settings_.limit);
-    fresh->timer.async_wait(
-        [this, fresh](boost::system::error_code ec)
+    ++call_count_;
+    active_.push_back(new_call);
+    new_call->timer.expires_after(settings_.call_timeout);
+    new_call->timer.async_wait(
+        [this, new_call](boost::system::error_code ec)
         {
             if (!ec)
-                end(fresh);
+                end(new_call);
         });
-    connect_rpc(io_, fresh->agent.rpc,
-                [this, fresh](connect_result got)
+    connect_rpc(io_, new_call->agent.rpc,
+                [this, new_call](connect_result result)
                 {
-                    if (fresh->ended)
+                    if (new_call->ended)
                         return;
-                    if (!got.socket)
-                        return end(fresh);
-                    auto rpc = kj::heap<rpc_connection>(std::move(*got.socket),
-                                                        bytes_);
+                    if (!result.socket)
+                        return end(new_call);
+                    auto rpc = kj::heap<rpc_connection>(
+                        std::move(*result.socket), bytes_);
                     auto agent = rpc->bootstrap().castAs<wire::Agent>();
                     auto tasks = kj::heap<background_tasks>();
-                    tasks->add(fresh->send(kj::mv(agent))
-                                   .then([this, fresh] { end(fresh); },
-                                         [this, fresh](kj::Exception&&)
-                                         { end(fresh); }));
-                    fresh->rpc = kj::mv(rpc);
-                    fresh->tasks = kj::mv(tasks);
+                    tasks->add(new_call->send(kj::mv(agent))
+                                   .then([this, new_call] { end(new_call); },
+                                         [this, new_call](kj::Exception&&)
+                                         { end(new_call); }));
+                    new_call->rpc = kj::mv(rpc);
+                    new_call->tasks = kj::mv(tasks);
                 });
 }
 
@@ -101,7 +101,7 @@
     if (std::exchange(done->ended, true))
         return;
     done->timer.cancel();
-    std::erase(open_, done);
+    std::erase(active_, done);
     // The connection goes in the loop's next turn, not inside its own call;
     // with it goes the handler, which then tells its fallback.
     boost::asio::post(io_,
@@ -111,7 +111,7 @@
                           done->rpc = nullptr;
                           done->send = nullptr;
                       });
-    if (waiting_.empty() || open_.size() >= settings_.at_once)
+    if (waiting_.empty() || active_.size() >= settings_.max_concurrent_calls)
         return;
     const auto next = waiting_.front();
     waiting_.pop_front();
@@ -119,13 +119,13 @@
 }
 
 void agent_control::fence(const member& agent, std::uint64_t incarnation,
-                          std::function<void(fence_answer)> handler)
+                          std::function<void(fence_reply)> handler)
 {
-    const once_handler<fence_answer> done(std::move(handler), fence_answer{});
-    auto fresh = std::make_shared<call>(io_);
-    fresh->agent = agent;
-    fresh->send = [done, incarnation,
-                   within = settings_.heard_within](wire::Agent::Client to)
+    const once_handler<fence_reply> done(std::move(handler), fence_reply{});
+    auto new_call = std::make_shared<call>(io_);
+    new_call->agent = agent;
+    new_call->send = [done, incarnation, within = settings_.liveness_window](
+                         wire::Agent::Client to)
     {
         auto request = to.fenceRequest();
         request.setIncarnation(incarnation);
@@ -134,8 +134,8 @@
         return request.send().then(
             [done](auto&& reply)
             {
-                fence_answer answer;
-                answer.reached = true;
+                fence_reply answer;
+                answer.answered = true;
                 answer.declined = reply.getDeclined();
                 answer.unfinished = reply.getUnfinished();
                 for (const auto record : reply.getRecords())
@@ -143,31 +143,32 @@
                 done(std::move(answer));
             });
     };
-    begin(fresh);
+    start_or_queue(new_call);
 }
 
 void agent_control::drain(const member& agent, bool on, const std::string& by,
                           std::function<void(bool)> handler)
 {
     const once_handler<bool> done(std::move(handler), false);
-    auto fresh = std::make_shared<call>(io_);
-    fresh->agent = agent;
-    fresh->send = [done, on, by](wire::Agent::Client to)
+    auto new_call = std::make_shared<call>(io_);
+    new_call->agent = agent;
+    new_call->send = [done, on, by](wire::Agent::Client to)
     {
         auto request = to.drainRequest();
         request.setOn(on);
         request.setBy(by);
         return request.send().then([done](auto&&) { done(true); });
     };
-    begin(fresh);
+    start_or_queue(new_call);
 }
 
-void agent_control::pull(const member& agent, const configuration& known,
-                         std::function<void(const configuration&)> done)
+void agent_control::fetch_configuration(
+    const member& agent, const configuration& known,
+    std::function<void(const configuration&)> done)
 {
-    auto fresh = std::make_shared<call>(io_);
-    fresh->agent = agent;
-    fresh->send = [done = std::move(done), known](wire::Agent::Client to)
+    auto new_call = std::make_shared<call>(io_);
+    new_call->agent = agent;
+    new_call->send = [done = std::move(done), known](wire::Agent::Client to)
     {
         auto request = to.configurationRequest();
         request.setSince(known.version());
@@ -178,21 +179,21 @@
                     done(newer);
             });
     };
-    begin(fresh);
+    start_or_queue(new_call);
 }
 
 void agent_control::close()
 {
     waiting_.clear();
-    for (const auto& one : open_)
+    for (const auto& active_call : active_)
     {
-        one->ended = true;
-        one->timer.cancel();
-        one->tasks = nullptr;
-        one->rpc = nullptr;
-        one->send = nullptr;
+        active_call->ended = true;
+        active_call->timer.cancel();
+        active_call->tasks = nullptr;
+        active_call->rpc = nullptr;
+        active_call->send = nullptr;
     }
-    open_.clear();
+    active_.clear();
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/agent_control.hpp
+++ b/src/glenhollow/entry/agent_control.hpp
@@ -21,9 +21,9 @@
 {
 
 /// What one agent said to a fence.
-struct fence_answer
+struct fence_reply
 {
-    bool reached = false;         ///< It answered.
+    bool answered = false;        ///< It answered.
     bool declined = false;        ///< It heard from that incarnation lately.
     std::uint32_t unfinished = 0; ///< Tasks that still run there.
     std::vector<fenced_record> records; ///< What it remembers.
@@ -32,9 +32,9 @@
 /// Settings of control calls to agents.
 struct agent_control_settings
 {
-    duration limit = seconds{2};         ///< Of one call, connecting included.
-    duration heard_within = seconds{12}; ///< Above the links' heartbeat.
-    std::size_t at_once = 64;            ///< Calls at once.
+    duration call_timeout = seconds{2}; ///< Of one call, connecting included.
+    duration liveness_window = seconds{12}; ///< Above the links' heartbeat.
+    std::size_t max_concurrent_calls = 64;  ///< Calls at once.
 };
 
 /// Calls to agents that are too rare for a link: fences, drains and reads of
@@ -53,7 +53,7 @@
     /// @param incarnation Whose starts it is to refuse.
     /// @param done Told its answer.
     void fence(const member& agent, std::uint64_t incarnation,
-               std::function<void(fence_answer)> done);
+               std::function<void(fence_reply)> done);
 
     /// @param agent Whom to tell.
     /// @param on Whether it is to refuse new starts.
@@ -65,29 +65,29 @@
     /// @param agent Whom to ask.
     /// @param known Our configuration.
     /// @param done Told the newer one; not called without it.
-    void pull(const member& agent, const configuration& known,
-              std::function<void(const configuration&)> done);
+    void fetch_configuration(const member& agent, const configuration& known,
+                             std::function<void(const configuration&)> done);
 
     /// Drops all calls; called inside the rpc_loop, before its end.
     void close();
 
     /// @return Calls made so far.
-    std::uint64_t calls() const { return calls_made_; }
+    std::uint64_t calls() const { return call_count_; }
 
 private:
     struct call;
 
     /// Starts a call, or lets it wait for one of those under way.
-    void begin(const std::shared_ptr<call>& fresh);
-    void connect(const std::shared_ptr<call>& fresh);
+    void start_or_queue(const std::shared_ptr<call>& new_call);
+    void connect(const std::shared_ptr<call>& new_call);
     void end(const std::shared_ptr<call>& done);
 
     boost::asio::io_context& io_;               ///< The loop's context.
     agent_control_settings settings_;           ///< Limits.
-    std::vector<std::shared_ptr<call>> open_;   ///< Under way.
+    std::vector<std::shared_ptr<call>> active_; ///< Under way.
     std::deque<std::shared_ptr<call>> waiting_; ///< Until one has ended.
     stream_stats bytes_;                        ///< Over all calls.
-    std::uint64_t calls_made_ = 0;              ///< So far.
+    std::uint64_t call_count_ = 0;              ///< So far.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/agent_links.cpp
+++ b/src/glenhollow/entry/agent_links.cpp
@@ -24,13 +24,14 @@
 constexpr std::string_view unknown_name = "?";
 
 /// Weight of a new sample in a link's smoothed delay.
-constexpr int delay_weight = 8;
+constexpr int delay_smoothing_divisor = 8;
 
 /// Puts all waiting acknowledgements into a message.
 template <class Request>
-void give_acknowledgements(Request& request, std::vector<task_key>& waiting)
+void write_acknowledgements(Request& request,
+                            std::vector<task_key>& pending_acks)
 {
-    const auto keys = std::exchange(waiting, {});
+    const auto keys = std::exchange(pending_acks, {});
     auto list = request.initAcknowledged(static_cast<unsigned>(keys.size()));
     for (unsigned i = 0; i < keys.size(); ++i)
     {
@@ -66,17 +67,17 @@
     /// @return The same in our types.
     static agent_load from(wire::Load::Reader load)
     {
-        agent_load taken;
-        taken.report.slots = static_cast<std::int32_t>(load.getSlots());
-        taken.report.busy =
+        agent_load converted;
+        converted.report.slots = static_cast<std::int32_t>(load.getSlots());
+        converted.report.busy =
             static_cast<std::int32_t>(load.getRunning() + load.getQueued());
-        taken.report.links = static_cast<std::int32_t>(load.getLinks());
-        taken.report.draining = load.getDraining();
-        taken.report.shunned = load.getShunned();
-        taken.clock = load.getClock();
-        taken.received = load.getReceived();
-        taken.config_version = load.getConfigVersion();
-        return taken;
+        converted.report.links = static_cast<std::int32_t>(load.getLinks());
+        converted.report.draining = load.getDraining();
+        converted.report.shunned = load.getShunned();
+        converted.clock = load.getClock();
+        converted.received = load.getReceived();
+        converted.config_version = load.getConfigVersion();
+        return converted;
     }
 };
 
@@ -108,8 +109,8 @@
 
     runner_index index = 0;        ///< Its place.
     member agent;                  ///< Whom it links to.
-    bool wanted = true;            ///< Still on the list.
-    instant unwanted_since{};      ///< When it left the list.
+    bool listed = true;            ///< Still on the list.
+    instant unlisted_since{};      ///< When it left the list.
     std::uint64_t generation = 0;  ///< Of the connection.
     kj::Own<connection> current;   ///< Null while there is none.
     bool connecting = false;       ///< A connection is being made.
@@ -118,20 +119,20 @@
     std::int64_t agent_clock = 0;  ///< Its last reading, ns.
     instant agent_clock_at{};      ///< When that came.
     std::unordered_map<task_key, sent_start, task_key_hash>
-        outstanding;                  ///< Starts without an end.
-    std::vector<task_key> acks;       ///< For the next message.
-    std::uint64_t sent = 0;           ///< Starts sent over the connection.
-    duration delay{};                 ///< Smoothed time there and back.
-    instant heard{};                  ///< When the last message came.
-    instant said{};                   ///< When the last message left.
-    instant ping_sent{};              ///< Of the ping in flight, or 0.
-    instant broken_since{};           ///< Of the break, or 0.
-    instant retry_at{};               ///< When to connect again.
-    duration backoff{};               ///< Before the next attempt.
-    bool configuring = false;         ///< A configuration is on its way.
-    std::uint64_t config_version = 0; ///< In force at the agent.
-    std::uint64_t started = 0;        ///< Starts sent ever.
-    std::uint64_t refused = 0;        ///< Of them, answered not_run.
+        outstanding;                    ///< Starts without an end.
+    std::vector<task_key> pending_acks; ///< For the next message.
+    std::uint64_t sent = 0;             ///< Starts sent over the connection.
+    duration delay{};                   ///< Smoothed time there and back.
+    instant last_received{};            ///< When the last message came.
+    instant last_sent{};                ///< When the last message left.
+    instant ping_sent{};                ///< Of the ping in flight, or 0.
+    instant broken_since{};             ///< Of the break, or 0.
+    instant retry_at{};                 ///< When to connect again.
+    duration backoff{};                 ///< Before the next attempt.
+    bool configuring = false;           ///< A configuration is on its way.
+    std::uint64_t config_version = 0;   ///< In force at the agent.
+    std::uint64_t started = 0;          ///< Starts sent ever.
+    std::uint64_t refused = 0;          ///< Of them, answered not_run.
 
     /// @return A time on the agent's clock that is not after `within` from
     /// now, because its reading is older than its arrival here.
@@ -149,19 +150,19 @@
 
 agent_links::~agent_links() = default;
 
-void agent_links::attach(coordinator& owner, std::function<void()> events)
+void agent_links::attach(coordinator& owner, std::function<void()> on_events)
 {
     owner_ = &owner;
-    events_ = std::move(events);
+    on_events_ = std::move(on_events);
 }
 
-runner_index agent_links::free_place()
+runner_index agent_links::allocate_index()
 {
     const instant now = clock_.now();
     for (const auto& known : links_)
     {
-        if (!known->wanted && known->outstanding.empty() &&
-            now - known->unwanted_since > settings_.forget_after)
+        if (!known->listed && known->outstanding.empty() &&
+            now - known->unlisted_since > settings_.departed_link_retention)
             return known->index;
     }
     links_.push_back(std::make_unique<link>());
@@ -171,48 +172,48 @@
 
 void agent_links::set_agents(const std::vector<member>& agents)
 {
-    std::map<std::string, const member*> wanted;
+    std::map<std::string, const member*> listed;
     for (const auto& agent : agents)
-        wanted.emplace(agent.name, &agent);
+        listed.emplace(agent.name, &agent);
     for (auto known = by_name_.begin(); known != by_name_.end();)
     {
         auto& old = *links_[known->second];
-        const auto still = wanted.find(known->first);
-        const bool same =
-            still != wanted.end() &&
-            still->second->rpc.to_string() == old.agent.rpc.to_string();
+        const auto found = listed.find(known->first);
+        const bool same_address =
+            found != listed.end() &&
+            found->second->rpc.to_string() == old.agent.rpc.to_string();
         // A link with tasks out there stays until they have ended.
-        if (same || (still == wanted.end() && !old.outstanding.empty()))
+        if (same_address || (found == listed.end() && !old.outstanding.empty()))
         {
-            old.wanted = still != wanted.end();
+            old.listed = found != listed.end();
             ++known;
             continue;
         }
-        old.wanted = false;
-        old.unwanted_since = clock_.now();
-        broken(old, old.generation);
-        give_up(old, reason::link_broken);
+        old.listed = false;
+        old.unlisted_since = clock_.now();
+        on_link_broken(old, old.generation);
+        fail_outstanding(old, reason::link_broken);
         known = by_name_.erase(known);
     }
-    for (const auto& [name, agent] : wanted)
+    for (const auto& [name, agent] : listed)
     {
         if (by_name_.contains(name))
             continue;
-        const auto place = free_place();
-        auto fresh = std::make_unique<link>();
-        fresh->index = place;
-        fresh->agent = *agent;
-        fresh->backoff = settings_.first_backoff;
-        links_[place] = std::move(fresh);
-        by_name_.emplace(name, place);
-        connect(*links_[place]);
+        const auto index = allocate_index();
+        auto new_link = std::make_unique<link>();
+        new_link->index = index;
+        new_link->agent = *agent;
+        new_link->backoff = settings_.initial_backoff;
+        links_[index] = std::move(new_link);
+        by_name_.emplace(name, index);
+        connect(*links_[index]);
     }
 }
 
 void agent_links::connect(link& to)
 {
     to.connecting = true;
-    const std::uint64_t generation = ++generations_;
+    const std::uint64_t generation = ++last_generation_;
     to.generation = generation;
     connect_rpc(io_, to.agent.rpc,
                 [this, index = to.index, generation](connect_result got)
@@ -221,24 +222,24 @@
                     if (to.generation != generation)
                         return;
                     if (!got.socket)
-                        return broken(to, generation);
-                    connected(to, std::move(*got.socket));
+                        return on_link_broken(to, generation);
+                    on_connected(to, std::move(*got.socket));
                 });
 }
 
-void agent_links::connected(link& to, tcp::socket socket)
+void agent_links::on_connected(link& to, tcp::socket socket)
 {
     to.current = kj::heap<link::connection>(std::move(socket), bytes_);
-    to.heard = to.said = clock_.now();
-    to.ping_sent = to.said;
+    to.last_received = to.last_sent = clock_.now();
+    to.ping_sent = to.last_sent;
     // An idle link has no call whose failure would tell.
     to.current->calls.add(to.current->rpc.on_disconnect().then(
         [this, index = to.index, generation = to.generation]
-        { broken(*links_[index], generation); }));
-    say_hello(to);
+        { on_link_broken(*links_[index], generation); }));
+    send_hello(to);
 }
 
-void agent_links::say_hello(link& to)
+void agent_links::send_hello(link& to)
 {
     auto request = to.current->agent.helloRequest();
     request.setEntry(settings_.entry);
@@ -259,17 +260,17 @@
             from.up = true;
             from.ping_sent = {};
             from.sent = 0;
-            from.backoff = settings_.first_backoff;
+            from.backoff = settings_.initial_backoff;
             from.broken_since = {};
             from.current->session = reply.getSession();
             const bool restarted = from.incarnation != 0 &&
                                    from.incarnation != reply.getIncarnation();
             // Another incarnation knows nothing of what was sent before.
             if (restarted)
-                give_up(from, reason::agent_restarted);
+                fail_outstanding(from, reason::agent_restarted);
             from.incarnation = reply.getIncarnation();
             const auto report =
-                take_load(from, agent_load::from(reply.getLoad()));
+                update_load(from, agent_load::from(reply.getLoad()));
             owner_->link_up(index, from.agent.hall == settings_.hall, report);
             const auto drained = drains_.find(from.agent.name);
             owner_->set_drained(index, drained != drains_.end(),
@@ -278,25 +279,25 @@
             log_change(
                 log_level::info, "link_up",
                 {{"runner", from.agent.name}, {"shard", settings_.shard}});
-            std::vector<outgoing_start> again;
+            std::vector<outgoing_start> resent_starts;
             for (auto& [key, sent] : from.outstanding)
-                again.push_back(sent.start);
-            stats_.repeated_starts += again.size();
-            for (auto& start : again)
-                call(from, {std::move(start)});
-            events_();
+                resent_starts.push_back(sent.start);
+            stats_.repeated_starts += resent_starts.size();
+            for (auto& start : resent_starts)
+                send_starts(from, {std::move(start)});
+            on_events_();
         },
         [this, index, generation](kj::Exception&&)
-        { broken(*links_[index], generation); }));
+        { on_link_broken(*links_[index], generation); }));
 }
 
-void agent_links::broken(link& at, std::uint64_t generation)
+void agent_links::on_link_broken(link& at, std::uint64_t generation)
 {
     if (at.generation != generation)
         return;
     const bool was_up = at.up;
     at.up = at.connecting = at.configuring = false;
-    at.generation = ++generations_;
+    at.generation = ++last_generation_;
     at.ping_sent = {};
     // Calls in flight are dropped by the loop's next turn, not by themselves.
     if (at.current)
@@ -309,22 +310,22 @@
     if (at.broken_since == instant{})
         at.broken_since = now;
     at.retry_at = now + at.backoff;
-    at.backoff = std::min(at.backoff * 2, settings_.longest_backoff);
+    at.backoff = std::min(at.backoff * 2, settings_.max_backoff);
     if (!was_up)
         return;
     ++stats_.breaks;
     log_change(log_level::warning, "link_broken",
                {{"runner", at.agent.name},
                 {"shard", settings_.shard},
-                {"starts_out", at.outstanding.size()}});
+                {"outstanding_starts", at.outstanding.size()}});
     owner_->link_down(at.index);
-    events_();
+    on_events_();
 }
 
-void agent_links::give_up(link& at, reason why)
+void agent_links::fail_outstanding(link& at, reason why)
 {
-    auto lost = std::exchange(at.outstanding, {});
-    for (auto& [key, sent] : lost)
+    auto lost_starts = std::exchange(at.outstanding, {});
+    for (auto& [key, sent] : lost_starts)
     {
         task_end end;
         end.key = key;
@@ -332,22 +333,22 @@
         owner_->task_ended(at.index, std::move(end));
     }
     // Results of an incarnation that is gone need no acknowledgement.
-    at.acks.clear();
-    if (!lost.empty())
-        events_();
+    at.pending_acks.clear();
+    if (!lost_starts.empty())
+        on_events_();
 }
 
-load_report agent_links::take_load(link& from, const agent_load& load)
+load_report agent_links::update_load(link& from, const agent_load& load)
 {
     const instant now = clock_.now();
     from.agent_clock = load.clock;
     from.agent_clock_at = now;
-    from.heard = now;
+    from.last_received = now;
     from.config_version = load.config_version;
     if (from.config_version < configuration_.version())
         push_configuration(from);
     auto report = load.report;
-    report.unreported = static_cast<std::int32_t>(from.sent - load.received);
+    report.in_transit = static_cast<std::int32_t>(from.sent - load.received);
     report.delay = from.delay;
     return report;
 }
@@ -364,16 +365,16 @@
     for (auto& start : starts)
     {
         const bool full = group.size() >= settings_.starts_per_call;
-        const bool other =
+        const bool different_job =
             !group.empty() && group.back().key.sequence != start.key.sequence;
-        if (full || other)
-            call(to, std::exchange(group, {}));
+        if (full || different_job)
+            send_starts(to, std::exchange(group, {}));
         group.push_back(std::move(start));
     }
-    call(to, std::move(group));
+    send_starts(to, std::move(group));
 }
 
-void agent_links::call(link& to, std::vector<outgoing_start> starts)
+void agent_links::send_starts(link& to, std::vector<outgoing_start> starts)
 {
     // A link that broke in this very turn repeats its starts when it is back.
     if (!to.up)
@@ -396,10 +397,10 @@
         out.setJobTasks(start.job_tasks);
         out.setRank(static_cast<float>(start.rank));
     }
-    give_acknowledgements(request, to.acks);
+    write_acknowledgements(request, to.pending_acks);
     to.sent += starts.size();
     to.started += starts.size();
-    to.said = clock_.now();
+    to.last_sent = clock_.now();
     ++stats_.start_calls;
     stats_.starts += starts.size();
     const auto index = to.index;
@@ -413,15 +414,16 @@
             std::vector<task_end> ends;
             for (const auto result : reply.getResults())
                 ends.push_back(to_end(result));
-            replied(from, generation, std::move(ends),
-                    take_load(from, agent_load::from(reply.getLoad())));
+            on_reply(from, generation, std::move(ends),
+                     update_load(from, agent_load::from(reply.getLoad())));
         },
         [this, index, generation](kj::Exception&&)
-        { broken(*links_[index], generation); }));
+        { on_link_broken(*links_[index], generation); }));
 }
 
-void agent_links::replied(link& from, std::uint64_t generation,
-                          std::vector<task_end> ends, const load_report& report)
+void agent_links::on_reply(link& from, std::uint64_t generation,
+                           std::vector<task_end> ends,
+                           const load_report& report)
 {
     ++stats_.replies;
     from.ping_sent = {};
@@ -437,33 +439,33 @@
             ++from.refused;
             ++stats_.refused_starts;
         }
-        const auto there =
+        const auto agent_time =
             microseconds{end.wait_micros} + microseconds{end.run_micros};
-        const duration took = now - sent->second.sent - there;
-        from.delay +=
-            (std::max<duration>(took, {}) - from.delay) / delay_weight;
+        const duration took = now - sent->second.sent - agent_time;
+        from.delay += (std::max<duration>(took, {}) - from.delay) /
+                      delay_smoothing_divisor;
         from.outstanding.erase(sent);
         owner_->task_ended(from.index, std::move(end));
         if (from.generation != generation)
             break;
     }
     owner_->report_load(from.index, report);
-    events_();
+    on_events_();
 }
 
 void agent_links::acknowledge(runner_index runner,
                               const std::vector<task_key>& keys)
 {
-    auto& acks = links_[runner]->acks;
-    acks.insert(acks.end(), keys.begin(), keys.end());
+    auto& pending_acks = links_[runner]->pending_acks;
+    pending_acks.insert(pending_acks.end(), keys.begin(), keys.end());
 }
 
 void agent_links::ping(link& to)
 {
     auto request = KJ_ASSERT_NONNULL(to.current->session).pingRequest();
-    give_acknowledgements(request, to.acks);
+    write_acknowledgements(request, to.pending_acks);
     stats_.pings += 2;
-    to.said = to.ping_sent = clock_.now();
+    to.last_sent = to.ping_sent = clock_.now();
     const auto index = to.index;
     const auto generation = to.generation;
     to.current->calls.add(request.send().then(
@@ -474,18 +476,18 @@
                 return;
             from.ping_sent = {};
             owner_->report_load(
-                index, take_load(from, agent_load::from(reply.getLoad())));
-            events_();
+                index, update_load(from, agent_load::from(reply.getLoad())));
+            on_events_();
         },
         [this, index, generation](kj::Exception&&)
-        { broken(*links_[index], generation); }));
+        { on_link_broken(*links_[index], generation); }));
 }
 
 void agent_links::close()
 {
     for (const auto& known : links_)
     {
-        known->generation = ++generations_;
+        known->generation = ++last_generation_;
         known->current = nullptr;
     }
 }
@@ -496,29 +498,30 @@
     for (const auto& known : links_)
     {
         auto& at = *known;
-        const bool waits = at.ping_sent != instant{};
-        if (waits && (at.up || at.current) &&
-            now - at.ping_sent > settings_.reply_limit)
+        const bool awaiting_reply = at.ping_sent != instant{};
+        if (awaiting_reply && (at.up || at.current) &&
+            now - at.ping_sent > settings_.reply_timeout)
         {
             // Neither hello nor ping was answered: the agent hangs or is cut
             // off.
-            broken(at, at.generation);
+            on_link_broken(at, at.generation);
             continue;
         }
-        if (at.up && !waits)
+        if (at.up && !awaiting_reply)
         {
-            const bool silent = !at.outstanding.empty() &&
-                                now - at.heard > settings_.probe_after &&
-                                now - at.said > settings_.probe_after;
-            const bool idle = now - at.heard > settings_.heartbeat &&
-                              now - at.said > settings_.heartbeat;
+            const bool silent =
+                !at.outstanding.empty() &&
+                now - at.last_received > settings_.probe_after &&
+                now - at.last_sent > settings_.probe_after;
+            const bool idle = now - at.last_received > settings_.heartbeat &&
+                              now - at.last_sent > settings_.heartbeat;
             if (silent || idle)
                 ping(at);
         }
         if (!at.up && !at.outstanding.empty() && at.broken_since != instant{} &&
             now - at.broken_since > settings_.resend_window)
-            give_up(at, reason::link_broken);
-        if (!at.up && !at.connecting && !at.current && at.wanted &&
+            fail_outstanding(at, reason::link_broken);
+        if (!at.up && !at.connecting && !at.current && at.listed &&
             now >= at.retry_at)
             connect(at);
     }
@@ -557,7 +560,7 @@
                 push_configuration(from);
         },
         [this, index, generation](kj::Exception&&)
-        { broken(*links_[index], generation); }));
+        { on_link_broken(*links_[index], generation); }));
 }
 
 void agent_links::set_drains(const std::map<std::string, reason>& drains)
--- a/src/glenhollow/entry/agent_links.hpp
+++ b/src/glenhollow/entry/agent_links.hpp
@@ -32,11 +32,12 @@
     std::size_t starts_per_call = 1;     ///< Of one job, at most.
     duration heartbeat = seconds{10};    ///< Idle links say so this often.
     duration probe_after = seconds{3};   ///< Silence with tasks out there.
-    duration reply_limit = seconds{2};   ///< For hello and ping.
+    duration reply_timeout = seconds{2}; ///< For hello and ping.
     duration resend_window = seconds{3}; ///< A broken link may come back.
-    duration first_backoff = milliseconds{50}; ///< Of reconnects.
-    duration longest_backoff = seconds{2};     ///< The doubling ends here.
-    duration forget_after = seconds{900};      ///< Places of VMs that are gone.
+    duration initial_backoff = milliseconds{50}; ///< Of reconnects.
+    duration max_backoff = seconds{2};           ///< The doubling ends here.
+    duration departed_link_retention =
+        seconds{900}; ///< Places of VMs that are gone.
 };
 
 /// Messages over the links, by kind.
@@ -82,7 +83,7 @@
 
     /// @param owner Told of loads and ends; outlives the links.
     /// @param events Called after it was told, to place more tasks.
-    void attach(coordinator& owner, std::function<void()> events);
+    void attach(coordinator& owner, std::function<void()> on_events);
 
     /// Opens links to new agents, closes those to agents that are gone.
     /// @param agents All that this shard is to be linked with.
@@ -137,26 +138,26 @@
     struct agent_load;
 
     void connect(link& to);
-    void connected(link& to, boost::asio::ip::tcp::socket socket);
-    void say_hello(link& to);
-    void broken(link& at, std::uint64_t generation);
-    void give_up(link& at, reason why);
-    void call(link& to, std::vector<outgoing_start> starts);
-    void replied(link& from, std::uint64_t generation,
-                 std::vector<task_end> ends, const load_report& report);
+    void on_connected(link& to, boost::asio::ip::tcp::socket socket);
+    void send_hello(link& to);
+    void on_link_broken(link& at, std::uint64_t generation);
+    void fail_outstanding(link& at, reason why);
+    void send_starts(link& to, std::vector<outgoing_start> starts);
+    void on_reply(link& from, std::uint64_t generation,
+                  std::vector<task_end> ends, const load_report& report);
     void ping(link& to);
     void push_configuration(link& to);
-    load_report take_load(link& from, const agent_load& load);
-    runner_index free_place();
+    load_report update_load(link& from, const agent_load& load);
+    runner_index allocate_index();
 
     boost::asio::io_context& io_;                 ///< The loop's context.
     const clock_source& clock_;                   ///< The entry's clock.
     agent_links_settings settings_;               ///< Limits.
     coordinator* owner_ = nullptr;                ///< Told of ends.
-    std::function<void()> events_;                ///< Called after that.
+    std::function<void()> on_events_;             ///< Called after that.
     std::vector<std::unique_ptr<link>> links_;    ///< By runner index.
     std::map<std::string, runner_index> by_name_; ///< Of links in use.
-    std::uint64_t generations_ = 0;               ///< Counts connections.
+    std::uint64_t last_generation_ = 0;           ///< Counts connections.
     configuration configuration_;                 ///< In force here.
     std::map<std::string, reason> drains_;        ///< Runners without new work.
     stream_stats bytes_;                          ///< Over all links.
--- a/src/glenhollow/entry/caller_api.cpp
+++ b/src/glenhollow/entry/caller_api.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-constexpr std::size_t most_ids = 1000;
+constexpr std::size_t max_ids = 1000;
 constexpr std::string_view jobs_path = "/v1/jobs";
 constexpr std::string_view job_prefix = "/v1/jobs/";
 
@@ -25,7 +25,7 @@
     return glenhollow::to_response(problem.to_answer());
 }
 
-http_response plain(unsigned status, std::string text)
+http_response text_response(unsigned status, std::string text)
 {
     return {status, "text/plain", {}, std::move(text)};
 }
@@ -40,7 +40,7 @@
 {
     const api_problem wrong{400, reason::malformed,
                             "count must be a whole number in 1.." +
-                                std::to_string(most_ids)};
+                                std::to_string(max_ids)};
     const auto parsed = boost::urls::parse_origin_form(target);
     if (!parsed)
         return wrong;
@@ -56,13 +56,13 @@
         auto [stop, ec] =
             std::from_chars(value.data(), value.data() + value.size(), count);
         if (ec != std::errc{} || stop != value.data() + value.size() ||
-            count < 1 || count > most_ids)
+            count < 1 || count > max_ids)
             return wrong;
     }
     return count;
 }
 
-api_problem bad_id()
+api_problem invalid_id()
 {
     return {400, reason::malformed,
             "the submission id must be <hall>.<entry>.<incarnation>."
@@ -93,8 +93,8 @@
 
 void caller_api::handle(http_request request, http_responder done)
 {
-    const auto question = request.target.find('?');
-    const std::string path = request.target.substr(0, question);
+    const auto query_start = request.target.find('?');
+    const std::string path = request.target.substr(0, query_start);
     const bool is_get = request.method == "GET";
     const bool is_post = request.method == "POST";
     if (path.starts_with(job_prefix))
@@ -103,23 +103,23 @@
         if (request.method == "PUT")
             return run(id, std::move(request), done);
         if (is_get)
-            return ask(id, done);
+            return lookup_job(id, done);
         return done(to_response(wrong_method("PUT and GET")));
     }
     if (path == jobs_path)
-        return is_post ? run_minted(std::move(request), done)
+        return is_post ? run_with_new_id(std::move(request), done)
                        : done(to_response(wrong_method("POST")));
     if (path == "/v1/submissions")
-        return is_post ? mint(request.target, done)
+        return is_post ? issue_submissions(request.target, done)
                        : done(to_response(wrong_method("POST")));
     if (path == "/v1/operator")
         return is_post ? operate(std::move(request), done)
                        : done(to_response(wrong_method("POST")));
     if (path == "/healthz" && is_get)
-        return done(plain(200, "ok\n"));
+        return done(text_response(200, "ok\n"));
     if (path == "/readyz" && is_get)
-        return done(backend_.stopping() ? plain(503, "stopping\n")
-                                        : plain(200, "ready\n"));
+        return done(backend_.stopping() ? text_response(503, "stopping\n")
+                                        : text_response(200, "ready\n"));
     if (path == "/metrics" && is_get)
         return backend_.metrics(
             [done](std::string page) {
@@ -129,7 +129,8 @@
         api_problem{404, reason::malformed, "there is no such path"}));
 }
 
-void caller_api::mint(const std::string& target, const http_responder& done)
+void caller_api::issue_submissions(const std::string& target,
+                                   const http_responder& done)
 {
     if (backend_.stopping())
         return done(to_response(api_problem{
@@ -139,7 +140,7 @@
     if (!count)
         return done(to_response(count.error()));
     json::array ids;
-    for (const auto& id : backend_.mint_ids(count.value()))
+    for (const auto& id : backend_.issue_ids(count.value()))
         ids.push_back(json::string(id.to_string()));
     const json::object body{{"submissions", std::move(ids)}};
     done({201, "application/json", {}, json::serialize(body)});
@@ -156,13 +157,14 @@
     return trace_context::fresh(true);
 }
 
-void caller_api::run_minted(http_request request, const http_responder& done)
+void caller_api::run_with_new_id(http_request request,
+                                 const http_responder& done)
 {
     if (backend_.stopping())
         return done(to_response(api_problem{
             503, reason::stopping, "this entry is stopping; ask another one",
             verdict::not_run, seconds{1}}));
-    const auto id = backend_.mint_ids(1).front();
+    const auto id = backend_.issue_ids(1).front();
     run(id.to_string(), std::move(request), done);
 }
 
@@ -171,7 +173,7 @@
 {
     const auto parsed = submission_id::parse(id);
     if (!parsed)
-        return done(to_response(bad_id()));
+        return done(to_response(invalid_id()));
     auto job = parse_job(request.body, backend_.limits());
     if (!job)
         return done(to_response(job.error()));
@@ -189,19 +191,19 @@
                     { done(glenhollow::to_response(std::move(answer))); });
 }
 
-void caller_api::ask(const std::string& id, const http_responder& done)
+void caller_api::lookup_job(const std::string& id, const http_responder& done)
 {
     const auto parsed = submission_id::parse(id);
     if (!parsed)
-        return done(to_response(bad_id()));
+        return done(to_response(invalid_id()));
     backend_.lookup(*parsed, [done](job_answer answer)
                     { done(glenhollow::to_response(std::move(answer))); });
 }
 
 void caller_api::operate(http_request request, const http_responder& done)
 {
-    const auto by =
-        backend_.operator_of(header_value(request.headers, "Authorization"));
+    const auto by = backend_.authenticate_operator(
+        header_value(request.headers, "Authorization"));
     if (!by)
         return done(to_response(api_problem{
             401, reason::unauthorized, "a valid operator token is needed"}));
--- a/src/glenhollow/entry/caller_api.hpp
+++ b/src/glenhollow/entry/caller_api.hpp
@@ -26,7 +26,7 @@
 };
 
 /// Told the answer of a job, on any thread.
-using answer_sink = std::function<void(job_answer)>;
+using answer_callback = std::function<void(job_answer)>;
 
 /// What the HTTP interface needs of the entry behind it. All calls may answer
 /// on any thread.
@@ -38,22 +38,22 @@
     /// Called on a traffic thread.
     /// @param count How many.
     /// @return Fresh submission ids.
-    virtual std::vector<submission_id> mint_ids(std::size_t count) = 0;
+    virtual std::vector<submission_id> issue_ids(std::size_t count) = 0;
 
     /// Runs or joins a job at whoever minted its id.
     /// @param job The job.
     /// @param done Told the answer.
-    virtual void submit(routed_job job, answer_sink done) = 0;
+    virtual void submit(routed_job job, answer_callback done) = 0;
 
     /// @param id A submission.
     /// @param done Told what is known of it.
-    virtual void lookup(const submission_id& id, answer_sink done) = 0;
+    virtual void lookup(const submission_id& id, answer_callback done) = 0;
 
     /// @param statement One statement of the operators' language.
     /// @param by Who gave it.
     /// @param done Told the answer.
     virtual void operate(std::string statement, std::string by,
-                         answer_sink done) = 0;
+                         answer_callback done) = 0;
 
     /// @param done Told the metrics page of the whole process.
     virtual void metrics(std::function<void(std::string)> done) = 0;
@@ -67,7 +67,7 @@
     /// @param authorization The value of the header.
     /// @return Who sent it, or nothing where it is no operator's.
     virtual std::optional<std::string>
-    operator_of(std::string_view authorization) const = 0;
+    authenticate_operator(std::string_view authorization) const = 0;
 
     /// @param team Whose job it is.
     /// @param authorization The value of the header.
@@ -93,11 +93,12 @@
     void handle(http_request request, http_responder done);
 
 private:
-    void mint(const std::string& target, const http_responder& done);
-    void run_minted(http_request request, const http_responder& done);
+    void issue_submissions(const std::string& target,
+                           const http_responder& done);
+    void run_with_new_id(http_request request, const http_responder& done);
     void run(const std::string& id, http_request request,
              const http_responder& done);
-    void ask(const std::string& id, const http_responder& done);
+    void lookup_job(const std::string& id, const http_responder& done);
     void operate(http_request request, const http_responder& done);
     std::optional<trace_context> trace_of(const http_request& request);
 
--- a/src/glenhollow/entry/control_plane.cpp
+++ b/src/glenhollow/entry/control_plane.cpp
@@ -57,7 +57,7 @@
 void apply_tuning(shard& to, const tuning& values)
 {
     auto limits = to.jobs().settings();
-    limits.placing = values.placement;
+    limits.placement_strategy = values.placement;
     limits.queue.order = values.queue_order;
     limits.placement.overcommit = values.overcommit;
     limits.placement.short_reserve = values.short_reserve;
@@ -118,9 +118,11 @@
         [this](const adoption_report& done)
         {
             note(decision_kind::adopted, reason::entry_lost, "", "",
-                 "entry " + done.entry + ": " + std::to_string(done.whole) +
-                     " of " + std::to_string(done.jobs) + " jobs whole, " +
-                     std::to_string(done.unreached) + " agents gave no answer");
+                 "entry " + done.entry + ": " +
+                     std::to_string(done.complete_jobs) + " of " +
+                     std::to_string(done.jobs) + " jobs whole, " +
+                     std::to_string(done.unreachable_agents) +
+                     " agents gave no answer");
         });
 }
 
@@ -307,11 +309,11 @@
 void control_plane::take_report(const std::string& entry,
                                 const peer_report& report)
 {
-    foreign_.note_report(entry, report);
+    foreign_.on_peer_report(entry, report);
     if (report.config_version > store_.current().version())
-        peers_.pull(entry, store_.current(),
-                    [this](const configuration& newer)
-                    { store_.offer(newer); });
+        peers_.fetch_configuration(entry, store_.current(),
+                                   [this](const configuration& newer)
+                                   { store_.offer(newer); });
 }
 
 void control_plane::pull_from_agents()
@@ -331,9 +333,9 @@
             const auto* agent = members_.find(best.second);
             if (!agent || best.first <= store_.current().version())
                 return;
-            agents_.pull(*agent, store_.current(),
-                         [this](const configuration& newer)
-                         { store_.offer(newer); });
+            agents_.fetch_configuration(*agent, store_.current(),
+                                        [this](const configuration& newer)
+                                        { store_.offer(newer); });
         });
 }
 
--- a/src/glenhollow/entry/coordinator.cpp
+++ b/src/glenhollow/entry/coordinator.cpp
@@ -20,7 +20,7 @@
 constexpr double length_weight = 0.05;
 
 /// Length of a task of which nothing is known, s.
-constexpr double unknown_task_seconds = 0.3;
+constexpr double default_task_seconds = 0.3;
 
 /// How often waiting tasks are looked at without news.
 constexpr duration dispatch_interval = milliseconds{5};
@@ -29,7 +29,7 @@
 constexpr duration expiry_interval = seconds{1};
 
 /// Teams whose lengths are remembered at most; names come from callers.
-constexpr std::size_t most_team_lengths = 4096;
+constexpr std::size_t max_team_lengths = 4096;
 
 /// Bytes of a kept job besides its answer.
 constexpr std::size_t kept_overhead = 256;
@@ -79,7 +79,7 @@
     job_answer answer;           ///< Valid when ended.
 
     std::string team;                    ///< Whose it is.
-    instant arrived{};                   ///< When it was taken.
+    instant admitted_at{};               ///< When it was taken.
     instant deadline{};                  ///< When it fails.
     bool repeatable = false;             ///< Its task may run twice.
     bool long_tasks = false;             ///< In the queue of long ones.
@@ -87,12 +87,12 @@
     std::vector<task> tasks;             ///< Empty once it has ended.
     std::vector<std::string> results;    ///< Empty once it has ended.
     std::vector<std::uint32_t> waiting;  ///< Task numbers, next at the back.
-    std::size_t left = 0;                ///< Tasks that have not ended.
+    std::size_t remaining = 0;           ///< Tasks that have not ended.
     std::size_t task_count = 0;          ///< All tasks.
     std::vector<answer_handler> callers; ///< Wait for the answer.
     std::optional<trace_context> trace;  ///< The caller hop.
     std::string trace_parent;            ///< Span id above the caller hop.
-    std::int64_t arrived_wall = 0;       ///< For spans.
+    std::int64_t admitted_wall = 0;      ///< For spans.
 
     /// @return Whether any attempt of any task may have run.
     bool any_may_have_run() const
@@ -111,8 +111,9 @@
                          std::uint64_t seed)
     : clock_(clock), sender_(sender), incarnation_(incarnation),
       settings_(settings), random_(seed),
-      mint_(settings.shard, settings.shards, settings.id_lifetime),
-      placement_(placement::create(settings.placing, settings.placement)),
+      sequences_(settings.shard, settings.shards, settings.id_lifetime),
+      placement_(
+          placement::create(settings.placement_strategy, settings.placement)),
       short_queue_(settings.queue), long_queue_(settings.queue),
       retries_(settings.retry), health_(settings.health),
       quota_(settings.quota), ring_(settings.ring_records)
@@ -128,10 +129,10 @@
         .to_string();
 }
 
-submission_id coordinator::mint_id()
+submission_id coordinator::issue_id()
 {
     return {settings_.hall, settings_.entry, incarnation_,
-            mint_.next(clock_.now())};
+            sequences_.next(clock_.now())};
 }
 
 void coordinator::log(decision_kind kind, std::uint64_t sequence,
@@ -165,31 +166,31 @@
     const instant now = clock_.now();
     const auto known = jobs_.find(sequence);
     if (known != jobs_.end())
-        return join(*known->second, request, std::move(done));
+        return join_job(*known->second, request, std::move(done));
 
-    switch (mint_.state_of(sequence, now))
+    switch (sequences_.state_of(sequence, now))
     {
-    case mint_state::never_minted:
+    case sequence_state::never_issued:
         return refuse(sequence,
                       {status_not_found, reason::forged_submission,
                        "this entry never gave out that submission id"},
                       done);
-    case mint_state::expired:
+    case sequence_state::expired:
         return refuse(sequence,
                       {status_gone, reason::id_expired,
                        "the submission id is too old to be run or answered",
                        verdict::may_have_run},
                       done);
-    case mint_state::valid:
+    case sequence_state::valid:
         break;
     }
-    if (const auto problem = judge(request, now))
+    if (const auto problem = check_admission(request, now))
         return refuse(sequence, *problem, done);
     admit_job(sequence, std::move(request), std::move(trace), std::move(done));
 }
 
-void coordinator::join(job& known, const job_request& request,
-                       answer_handler done)
+void coordinator::join_job(job& known, const job_request& request,
+                           answer_handler done)
 {
     if (known.body_hash != request.body_hash)
         return refuse(known.sequence,
@@ -204,16 +205,17 @@
     known.callers.push_back(std::move(done));
 }
 
-double coordinator::expected_seconds(const std::string& team, double said) const
+double coordinator::expected_seconds(const std::string& team,
+                                     double requested) const
 {
-    if (said > 0)
-        return said;
-    const auto known = task_seconds_.find(team);
-    return known == task_seconds_.end() ? 0 : known->second;
+    if (requested > 0)
+        return requested;
+    const auto known = mean_task_seconds_.find(team);
+    return known == mean_task_seconds_.end() ? 0 : known->second;
 }
 
-std::optional<api_problem> coordinator::judge(const job_request& request,
-                                              instant now)
+std::optional<api_problem>
+coordinator::check_admission(const job_request& request, instant now)
 {
     if (stopping_ || fenced_)
         return api_problem{status_unavailable,
@@ -242,7 +244,7 @@
         // of them.
         const double slots = view.effective_slots();
         state.available_slots +=
-            std::max(slots - view.peer_tasks, slots / sharers_[i]);
+            std::max(slots - view.peer_tasks, slots / linked_shards_[i]);
     }
     const auto decision = admit(state, settings_.admission, random_);
     if (!decision.admitted())
@@ -267,52 +269,59 @@
 {
     const instant now = clock_.now();
     auto fresh = std::make_unique<job>();
-    auto& owner = *fresh;
-    owner.sequence = sequence;
-    owner.body_hash = request.body_hash;
-    owner.team = std::move(request.team);
-    owner.arrived = now;
-    owner.deadline = now + request.deadline;
-    owner.repeatable = request.repeatable;
-    owner.expected = expected_seconds(owner.team, request.expected_seconds);
-    owner.long_tasks = owner.expected > settings_.long_task_seconds;
-    owner.task_count = owner.left = request.payloads.size();
-    owner.results.resize(owner.left);
-    owner.tasks.resize(owner.left);
-    for (std::size_t i = 0; i < owner.left; ++i)
+    auto& current_job = *fresh;
+    current_job.sequence = sequence;
+    current_job.body_hash = request.body_hash;
+    current_job.team = std::move(request.team);
+    current_job.admitted_at = now;
+    current_job.deadline = now + request.deadline;
+    current_job.repeatable = request.repeatable;
+    current_job.expected =
+        expected_seconds(current_job.team, request.expected_seconds);
+    current_job.long_tasks = current_job.expected > settings_.long_task_seconds;
+    current_job.task_count = current_job.remaining = request.payloads.size();
+    current_job.results.resize(current_job.remaining);
+    current_job.tasks.resize(current_job.remaining);
+    for (std::size_t i = 0; i < current_job.remaining; ++i)
     {
-        owner.tasks[i].payload = std::move(request.payloads[i]);
-        owner.waiting.push_back(static_cast<std::uint32_t>(owner.left - 1 - i));
+        current_job.tasks[i].payload = std::move(request.payloads[i]);
+        current_job.waiting.push_back(
+            static_cast<std::uint32_t>(current_job.remaining - 1 - i));
     }
-    owner.callers.push_back(std::move(done));
+    current_job.callers.push_back(std::move(done));
     if (trace)
     {
-        owner.trace_parent = trace->span_id;
-        owner.trace = trace->child();
-        owner.arrived_wall = wall_nanoseconds();
+        current_job.trace_parent = trace->span_id;
+        current_job.trace = trace->child();
+        current_job.admitted_wall = wall_nanoseconds();
     }
 
     ++stats_.admitted;
-    stats_.tasks_admitted += owner.left;
+    stats_.tasks_admitted += current_job.remaining;
     ++open_jobs_;
-    retries_.deposit(owner.team, owner.left);
-    deadlines_.insert({owner.deadline, sequence});
+    retries_.deposit(current_job.team, current_job.remaining);
+    deadlines_.insert({current_job.deadline, sequence});
     log(decision_kind::admitted, sequence,
-        static_cast<std::uint32_t>(owner.left), 0, reason::none,
+        static_cast<std::uint32_t>(current_job.remaining), 0, reason::none,
         verdict::not_run);
-    queue_of(owner).push(queue_entry(owner, owner.left));
+    queue_of(current_job).push(queue_entry(current_job, current_job.remaining));
     jobs_.emplace(sequence, std::move(fresh));
 }
 
-queued_job coordinator::queue_entry(const job& owner, std::size_t tasks) const
+queued_job coordinator::queue_entry(const job& current_job,
+                                    std::size_t tasks) const
 {
-    return {owner.sequence, owner.team, owner.arrived,
-            owner.deadline, tasks,      owner.expected};
+    return {current_job.sequence,
+            current_job.team,
+            current_job.admitted_at,
+            current_job.deadline,
+            tasks,
+            current_job.expected};
 }
 
-job_queue& coordinator::queue_of(const job& owner)
+job_queue& coordinator::queue_of(const job& current_job)
 {
-    return owner.long_tasks ? long_queue_ : short_queue_;
+    return current_job.long_tasks ? long_queue_ : short_queue_;
 }
 
 void coordinator::dispatch()
@@ -321,17 +330,17 @@
         return;
     occupancy_.apply(views_, clock_.now());
     bool only_short = false;
-    while (auto* owner = next_job(only_short))
+    while (auto* current_job = next_job(only_short))
     {
         bool blocked_long = false;
-        if (place_next(*owner, blocked_long))
+        if (place_next_task(*current_job, blocked_long))
             continue;
         if (!blocked_long)
             break;
         // Long tasks have to leave slots free; short ones may go on.
         only_short = true;
     }
-    flush();
+    send_outbox();
 }
 
 coordinator::job* coordinator::next_job(bool& only_short)
@@ -344,69 +353,70 @@
         return first_short ? first_short : first_long;
     // Between the two kinds the one that came first goes first, so neither
     // starves.
-    return first_long->arrived < first_short->arrived ? first_long
-                                                      : first_short;
+    return first_long->admitted_at < first_short->admitted_at ? first_long
+                                                              : first_short;
 }
 
-bool coordinator::place_next(job& owner, bool& blocked_long)
+bool coordinator::place_next_task(job& current_job, bool& blocked_long)
 {
     const instant now = clock_.now();
-    const auto number = owner.waiting.back();
-    const auto& next = owner.tasks[number];
+    const auto number = current_job.waiting.back();
+    const auto& next = current_job.tasks[number];
     placement_request request;
     request.runners = views_;
     request.avoid = next.avoid;
-    request.waited = now - owner.arrived;
-    request.long_task = owner.long_tasks;
+    request.waited = now - current_job.admitted_at;
+    request.long_task = current_job.long_tasks;
     const auto choice = placement_->choose(request, random_);
     if (!choice.runner)
     {
-        blocked_long = owner.long_tasks && !short_queue_.empty();
+        blocked_long = current_job.long_tasks && !short_queue_.empty();
         return false;
     }
-    send_task(owner, number, *choice.runner, choice.why, now);
+    send_task(current_job, number, *choice.runner, choice.why, now);
     return true;
 }
 
-void coordinator::send_task(job& owner, std::uint32_t number,
+void coordinator::send_task(job& current_job, std::uint32_t number,
                             runner_index runner, reason why, instant now)
 {
-    auto& next = owner.tasks[number];
-    owner.waiting.pop_back();
-    queue_of(owner).take_task(owner.sequence);
+    auto& next = current_job.tasks[number];
+    current_job.waiting.pop_back();
+    queue_of(current_job).take_task(current_job.sequence);
     next.at = task::stage::in_flight;
     next.sent = now;
     ++next.attempts;
     ++stats_.sent;
-    const duration waited = now - owner.arrived;
+    const duration waited = now - current_job.admitted_at;
     queue_seconds_.add(to_seconds(waited));
-    log(decision_kind::placed, owner.sequence, number, runner + 1, why,
+    log(decision_kind::placed, current_job.sequence, number, runner + 1, why,
         verdict::not_run, waited);
 
     outgoing_start start;
-    start.key = {owner.sequence, number};
-    start.begin_within = std::min(settings_.start_window, owner.deadline - now);
-    start.team = owner.team;
-    start.body_hash = owner.body_hash;
-    start.job_tasks = static_cast<std::uint32_t>(owner.task_count);
-    start.rank = rank_of(owner, now);
+    start.key = {current_job.sequence, number};
+    start.begin_within =
+        std::min(settings_.start_window, current_job.deadline - now);
+    start.team = current_job.team;
+    start.body_hash = current_job.body_hash;
+    start.job_tasks = static_cast<std::uint32_t>(current_job.task_count);
+    start.rank = rank_of(current_job, now);
     // The payload is needed again only if the task can be sent again; a copy
     // is the price of a retry.
     start.payload = next.payload;
-    if (owner.trace)
+    if (current_job.trace)
     {
-        const auto queue = owner.trace->child();
+        const auto queue = current_job.trace->child();
         next.link = queue.child();
         next.sent_wall = wall_nanoseconds();
         start.traceparent = next.link.to_header();
-        trace_hop(owner, "queue", start.key, owner.arrived_wall, queue,
-                  owner.trace->span_id);
+        trace_hop(current_job, "queue", start.key, current_job.admitted_wall,
+                  queue, current_job.trace->span_id);
     }
     ++views_[runner].outstanding;
     outbox_[runner].push_back(std::move(start));
 }
 
-double coordinator::rank_of(const job& owner, instant now) const
+double coordinator::rank_of(const job& current_job, instant now) const
 {
     // The order among the tasks that wait at an agent is that of the queue.
     switch (settings_.queue.order)
@@ -414,28 +424,28 @@
     case queue_order_kind::first_come:
         return 0;
     case queue_order_kind::earliest_deadline:
-        return to_seconds(owner.deadline - now);
+        return to_seconds(current_job.deadline - now);
     case queue_order_kind::least_work:
         break;
     }
     const double length =
-        owner.expected > 0 ? owner.expected : unknown_task_seconds;
-    return static_cast<double>(owner.waiting.size() + 1) * length;
+        current_job.expected > 0 ? current_job.expected : default_task_seconds;
+    return static_cast<double>(current_job.waiting.size() + 1) * length;
 }
 
-void coordinator::flush()
+void coordinator::send_outbox()
 {
     auto outbox = std::exchange(outbox_, {});
     for (auto& [runner, starts] : outbox)
         sender_.send(runner, std::move(starts));
 }
 
-void coordinator::trace_hop(const job& owner, std::string_view name,
+void coordinator::trace_hop(const job& current_job, std::string_view name,
                             const task_key& key, std::int64_t begin,
                             const trace_context& context,
                             const std::string& parent)
 {
-    if (!spans_ || !owner.trace || !owner.trace->sampled)
+    if (!spans_ || !current_job.trace || !current_job.trace->sampled)
         return;
     span hop;
     hop.name = name;
@@ -455,7 +465,7 @@
     {
         views_.resize(runner + 1);
         drained_.resize(runner + 1, false);
-        sharers_.resize(runner + 1, 1);
+        linked_shards_.resize(runner + 1, 1);
         occupancy_.resize(runner + 1);
         health_.resize(runner + 1);
     }
@@ -474,9 +484,9 @@
 {
     auto& view = views_[runner];
     view.slots = report.slots;
-    sharers_[runner] = std::max(report.links, 1);
+    linked_shards_[runner] = std::max(report.links, 1);
     // Of our tasks the agent has counted those that had reached it.
-    occupancy_.report(runner, report.busy, view.outstanding - report.unreported,
+    occupancy_.report(runner, report.busy, view.outstanding - report.in_transit,
                       clock_.now());
     view.draining = report.draining || drained_[runner];
     view.shunned = report.shunned;
@@ -501,21 +511,21 @@
     acknowledge_later(runner, end.key);
     const auto known = jobs_.find(end.key.sequence);
     const bool is_open = known != jobs_.end() && !known->second->ended;
-    note_health(runner, end, is_open ? known->second->expected : 0);
+    record_health(runner, end, is_open ? known->second->expected : 0);
     if (end.end.why == reason::draining)
         view.draining = true;
     if (end.end.why == reason::fenced)
-        fence_self();
+        handle_fencing();
     if (!is_open || known->second->ended)
     {
         ++stats_.late_ends;
         return;
     }
-    end_in_job(*known->second, runner, std::move(end));
+    handle_task_end(*known->second, runner, std::move(end));
 }
 
-void coordinator::note_health(runner_index runner, const task_end& end,
-                              double expected)
+void coordinator::record_health(runner_index runner, const task_end& end,
+                                double expected)
 {
     const auto change = health_.record_outcome(
         runner, end.end, end.run_micros * 1e-6, expected, clock_.now());
@@ -529,130 +539,138 @@
         end.end.what);
 }
 
-void coordinator::note_length(job& owner, const task_end& end)
+void coordinator::note_length(job& current_job, const task_end& end)
 {
     const double length = end.run_micros * 1e-6;
-    if (task_seconds_.size() >= most_team_lengths &&
-        !task_seconds_.contains(owner.team))
-        task_seconds_.clear();
-    auto [known, fresh] = task_seconds_.try_emplace(owner.team, length);
+    if (mean_task_seconds_.size() >= max_team_lengths &&
+        !mean_task_seconds_.contains(current_job.team))
+        mean_task_seconds_.clear();
+    auto [known, fresh] =
+        mean_task_seconds_.try_emplace(current_job.team, length);
     if (!fresh)
         known->second += length_weight * (length - known->second);
 }
 
-void coordinator::end_in_job(job& owner, runner_index runner, task_end end)
+void coordinator::handle_task_end(job& current_job, runner_index runner,
+                                  task_end end)
 {
-    auto& done = owner.tasks[end.key.task];
+    auto& done = current_job.tasks[end.key.task];
     assert(done.at == task::stage::in_flight);
     const instant now = clock_.now();
     const duration took = now - done.sent;
-    log(decision_kind::ended, owner.sequence, end.key.task, runner + 1,
+    log(decision_kind::ended, current_job.sequence, end.key.task, runner + 1,
         end.end.why, end.end.what, took);
-    if (owner.trace)
-        trace_hop(owner, "link", end.key, done.sent_wall, done.link,
-                  owner.trace->span_id);
+    if (current_job.trace)
+        trace_hop(current_job, "link", end.key, done.sent_wall, done.link,
+                  current_job.trace->span_id);
     if (end.end.what != verdict::ran)
-        return retry_or_fail(owner, runner, end);
+        return retry_or_fail(current_job, runner, end);
 
-    const auto there =
+    const auto agent_time =
         microseconds{end.wait_micros} + microseconds{end.run_micros};
-    link_seconds_.add(to_seconds(std::max<duration>(took - there, {})));
-    note_length(owner, end);
+    link_seconds_.add(to_seconds(std::max<duration>(took - agent_time, {})));
+    note_length(current_job, end);
     occupancy_.note_length(end.run_micros * 1e-6);
     done.at = task::stage::done;
     done.may_have_run = true;
-    owner.results[end.key.task] = std::move(end.body);
-    if (--owner.left == 0)
-        complete(owner);
+    current_job.results[end.key.task] = std::move(end.body);
+    if (--current_job.remaining == 0)
+        complete_job(current_job);
 }
 
-void coordinator::retry_or_fail(job& owner, runner_index runner,
+void coordinator::retry_or_fail(job& current_job, runner_index runner,
                                 const task_end& end)
 {
-    auto& tried = owner.tasks[end.key.task];
-    tried.at = task::stage::waiting;
+    auto& failed_task = current_job.tasks[end.key.task];
+    failed_task.at = task::stage::waiting;
     if (end.end.what == verdict::may_have_run)
     {
-        tried.may_have_run = true;
+        failed_task.may_have_run = true;
         // The one rule: what may have run is never started again, unless its
         // caller marked it repeatable.
-        if (!owner.repeatable)
-            return fail(owner, end.end.why);
+        if (!current_job.repeatable)
+            return fail_job(current_job, end.end.why);
     }
     if (fenced_)
-        return fail(owner, reason::fenced);
-    if (!retries_.try_withdraw(owner.team, tried.attempts))
-        return fail(owner, end.end.why == reason::none ? reason::retry_budget
-                                                       : end.end.why);
+        return fail_job(current_job, reason::fenced);
+    if (!retries_.try_withdraw(current_job.team, failed_task.attempts))
+        return fail_job(current_job, end.end.why == reason::none
+                                         ? reason::retry_budget
+                                         : end.end.why);
     ++stats_.retried;
-    tried.avoid.push_back(runner);
-    tried.at = task::stage::delayed;
-    const auto wait = retries_.backoff(tried.attempts, random_);
-    log(decision_kind::retried, owner.sequence, end.key.task, runner + 1,
+    failed_task.avoid.push_back(runner);
+    failed_task.at = task::stage::delayed;
+    const auto wait = retries_.backoff(failed_task.attempts, random_);
+    log(decision_kind::retried, current_job.sequence, end.key.task, runner + 1,
         end.end.why, end.end.what, wait);
     delayed_.insert({clock_.now() + wait, end.key});
 }
 
-void coordinator::complete(job& owner)
+void coordinator::complete_job(job& current_job)
 {
-    auto answer = complete_answer(id_text(owner.sequence), owner.results);
+    auto answer =
+        complete_answer(id_text(current_job.sequence), current_job.results);
     ++stats_.completed;
-    job_seconds_.add(to_seconds(clock_.now() - owner.arrived));
-    settle(owner, std::move(answer), decision_kind::completed, verdict::ran);
+    job_seconds_.add(to_seconds(clock_.now() - current_job.admitted_at));
+    finish_job(current_job, std::move(answer), decision_kind::completed,
+               verdict::ran);
 }
 
-void coordinator::fail(job& owner, reason why)
+void coordinator::fail_job(job& current_job, reason why)
 {
-    const auto what =
-        owner.any_may_have_run() ? verdict::may_have_run : verdict::not_run;
+    const auto what = current_job.any_may_have_run() ? verdict::may_have_run
+                                                     : verdict::not_run;
     ++stats_.failed;
-    queue_of(owner).remove(owner.sequence);
-    settle(owner, failed_answer(id_text(owner.sequence), what, why),
-           decision_kind::failed, what);
-}
-
-void coordinator::settle(job& owner, job_answer answer, decision_kind kind,
-                         verdict what)
-{
-    log(kind, owner.sequence, static_cast<std::uint32_t>(owner.task_count), 0,
-        answer.why, what, clock_.now() - owner.arrived);
-    if (owner.trace)
-        trace_hop(owner, "caller", {owner.sequence, 0}, owner.arrived_wall,
-                  *owner.trace, owner.trace_parent);
-    deadlines_.erase({owner.deadline, owner.sequence});
-    owner.ended = true;
-    owner.answer = std::move(answer);
-    owner.tasks = {};
-    owner.results = {};
-    owner.waiting = {};
+    queue_of(current_job).remove(current_job.sequence);
+    finish_job(current_job,
+               failed_answer(id_text(current_job.sequence), what, why),
+               decision_kind::failed, what);
+}
+
+void coordinator::finish_job(job& current_job, job_answer answer,
+                             decision_kind kind, verdict what)
+{
+    log(kind, current_job.sequence,
+        static_cast<std::uint32_t>(current_job.task_count), 0, answer.why, what,
+        clock_.now() - current_job.admitted_at);
+    if (current_job.trace)
+        trace_hop(current_job, "caller", {current_job.sequence, 0},
+                  current_job.admitted_wall, *current_job.trace,
+                  current_job.trace_parent);
+    deadlines_.erase({current_job.deadline, current_job.sequence});
+    current_job.ended = true;
+    current_job.answer = std::move(answer);
+    current_job.tasks = {};
+    current_job.results = {};
+    current_job.waiting = {};
     --open_jobs_;
-    kept_bytes_ += kept_overhead + owner.answer.body.size();
-    ended_order_.emplace(owner.sequence, owner.sequence);
-    const auto callers = std::exchange(owner.callers, {});
+    kept_bytes_ += kept_overhead + current_job.answer.body.size();
+    ended_jobs_.emplace(current_job.sequence, current_job.sequence);
+    const auto callers = std::exchange(current_job.callers, {});
     for (const auto& caller : callers)
-        caller(owner.answer);
+        caller(current_job.answer);
 }
 
 void coordinator::acknowledge_later(runner_index runner, const task_key& key)
 {
-    acks_.push_back({clock_.now() + settings_.ack_delay, runner, key});
+    pending_acks_.push_back({clock_.now() + settings_.ack_delay, runner, key});
 }
 
 void coordinator::send_due_acks(instant now)
 {
     std::map<runner_index, std::vector<task_key>> due;
-    while (!acks_.empty() && acks_.front().due <= now)
+    while (!pending_acks_.empty() && pending_acks_.front().due <= now)
     {
-        const auto& first = acks_.front();
+        const auto& first = pending_acks_.front();
         const auto known = jobs_.find(first.key.sequence);
         // Results of a job in flight stay with the agents: they are what an
         // adopter would answer it with.
         if (known != jobs_.end() && !known->second->ended)
-            acks_.push_back(
+            pending_acks_.push_back(
                 {now + settings_.ack_delay, first.runner, first.key});
         else
             due[first.runner].push_back(first.key);
-        acks_.pop_front();
+        pending_acks_.pop_front();
     }
     for (const auto& [runner, keys] : due)
         sender_.acknowledge(runner, keys);
@@ -660,11 +678,11 @@
 
 void coordinator::drop_expired(instant now)
 {
-    const auto low_water = mint_.low_water(now);
-    while (!ended_order_.empty() && ended_order_.begin()->first < low_water)
+    const auto low_water = sequences_.low_water(now);
+    while (!ended_jobs_.empty() && ended_jobs_.begin()->first < low_water)
     {
-        const auto sequence = ended_order_.begin()->first;
-        ended_order_.erase(ended_order_.begin());
+        const auto sequence = ended_jobs_.begin()->first;
+        ended_jobs_.erase(ended_jobs_.begin());
         const auto known = jobs_.find(sequence);
         kept_bytes_ -= kept_overhead + known->second->answer.body.size();
         jobs_.erase(known);
@@ -675,7 +693,8 @@
 {
     const instant now = clock_.now();
     while (!deadlines_.empty() && deadlines_.begin()->first <= now)
-        fail(*jobs_.at(deadlines_.begin()->second), reason::deadline_passed);
+        fail_job(*jobs_.at(deadlines_.begin()->second),
+                 reason::deadline_passed);
     while (!delayed_.empty() && delayed_.begin()->due <= now)
     {
         const auto key = delayed_.begin()->key;
@@ -683,10 +702,10 @@
         const auto known = jobs_.find(key.sequence);
         if (known == jobs_.end() || known->second->ended)
             continue;
-        auto& owner = *known->second;
-        owner.tasks[key.task].at = task::stage::waiting;
-        owner.waiting.push_back(key.task);
-        queue_of(owner).requeue_task(queue_entry(owner, 1));
+        auto& current_job = *known->second;
+        current_job.tasks[key.task].at = task::stage::waiting;
+        current_job.waiting.push_back(key.task);
+        queue_of(current_job).requeue_task(queue_entry(current_job, 1));
     }
     for (runner_index i = 0; i < views_.size(); ++i)
     {
@@ -711,8 +730,8 @@
         consider(deadlines_.begin()->first);
     if (!delayed_.empty())
         consider(delayed_.begin()->due);
-    if (!acks_.empty())
-        consider(acks_.front().due);
+    if (!pending_acks_.empty())
+        consider(pending_acks_.front().due);
     // What waits for a slot is looked at again as the estimates move on.
     if (queued_tasks() > 0)
         consider(clock_.now() + dispatch_interval);
@@ -727,8 +746,8 @@
     if (known != jobs_.end())
         return known->second->ended ? known->second->answer
                                     : running_answer(id_text(sequence));
-    const auto state = mint_.state_of(sequence, clock_.now());
-    if (state == mint_state::expired)
+    const auto state = sequences_.state_of(sequence, clock_.now());
+    if (state == sequence_state::expired)
         return api_problem{status_gone, reason::id_expired,
                            "the submission id is too old to be answered",
                            verdict::may_have_run}
@@ -747,9 +766,9 @@
     if (known->second->ended)
         return api_problem{status_conflict, reason::duplicate,
                            "the job has ended already"};
-    auto& owner = *known->second;
+    auto& current_job = *known->second;
     const auto unstarted = static_cast<std::size_t>(
-        std::count_if(owner.tasks.begin(), owner.tasks.end(),
+        std::count_if(current_job.tasks.begin(), current_job.tasks.end(),
                       [](const task& one) {
                           return one.at == task::stage::waiting ||
                                  one.at == task::stage::delayed;
@@ -760,30 +779,30 @@
     log(decision_kind::cancelled, sequence,
         static_cast<std::uint32_t>(unstarted), 0, reason::operator_command,
         verdict::not_run);
-    fail(owner, reason::cancelled);
+    fail_job(current_job, reason::cancelled);
     return unstarted;
 }
 
-void coordinator::fence_self()
+void coordinator::handle_fencing()
 {
     if (fenced_)
         return;
     fenced_ = true;
     // Whoever adopted us has failed these jobs; nothing more may start.
     std::vector<std::uint64_t> open;
-    for (const auto& [sequence, owner] : jobs_)
+    for (const auto& [sequence, current_job] : jobs_)
     {
-        if (!owner->ended)
+        if (!current_job->ended)
             open.push_back(sequence);
     }
     for (const auto sequence : open)
-        fail(*jobs_.at(sequence), reason::fenced);
+        fail_job(*jobs_.at(sequence), reason::fenced);
 }
 
 void coordinator::apply(const coordinator_settings& settings)
 {
-    const bool placing_changed =
-        settings.placing != settings_.placing ||
+    const bool strategy_changed =
+        settings.placement_strategy != settings_.placement_strategy ||
         settings.placement.short_reserve != settings_.placement.short_reserve ||
         settings.placement.overcommit != settings_.placement.overcommit;
     const auto place = std::tuple(settings_.hall, settings_.entry,
@@ -791,14 +810,15 @@
     settings_ = settings;
     std::tie(settings_.hall, settings_.entry, settings_.shard,
              settings_.shards) = place;
-    mint_.set_lifetime(settings_.id_lifetime);
+    sequences_.set_lifetime(settings_.id_lifetime);
     short_queue_.apply(settings_.queue);
     long_queue_.apply(settings_.queue);
     retries_.apply(settings_.retry);
     health_.apply(settings_.health);
     quota_.apply(settings_.quota);
-    if (placing_changed)
-        placement_ = placement::create(settings_.placing, settings_.placement);
+    if (strategy_changed)
+        placement_ = placement::create(settings_.placement_strategy,
+                                       settings_.placement);
 }
 
 void coordinator::set_weight(const std::string& team, double weight)
@@ -807,28 +827,28 @@
     long_queue_.set_weight(team, weight);
 }
 
-std::vector<job_row> coordinator::job_rows(std::size_t most) const
+std::vector<job_row> coordinator::job_rows(std::size_t max_rows) const
 {
     std::vector<job_row> rows;
     const instant now = clock_.now();
     const auto add = [&](bool ended)
     {
-        for (const auto& [sequence, owner] : jobs_)
+        for (const auto& [sequence, current_job] : jobs_)
         {
-            if (rows.size() >= most)
+            if (rows.size() >= max_rows)
                 return;
-            if (owner->ended != ended)
+            if (current_job->ended != ended)
                 continue;
             job_row row;
             row.id = id_text(sequence);
-            row.team = owner->team;
-            row.state = !ended                              ? "running"
-                        : owner->answer.why == reason::none ? "complete"
-                                                            : "failed";
-            row.tasks = owner->task_count;
-            row.done = owner->task_count - owner->left;
-            row.waiting = owner->waiting.size();
-            row.age = now - owner->arrived;
+            row.team = current_job->team;
+            row.state = !ended                                    ? "running"
+                        : current_job->answer.why == reason::none ? "complete"
+                                                                  : "failed";
+            row.tasks = current_job->task_count;
+            row.done = current_job->task_count - current_job->remaining;
+            row.waiting = current_job->waiting.size();
+            row.age = now - current_job->admitted_at;
             rows.push_back(std::move(row));
         }
     };
@@ -840,10 +860,11 @@
 std::vector<coordinator::kept_answer> coordinator::kept_answers() const
 {
     std::vector<kept_answer> answers;
-    for (const auto& [sequence, owner] : jobs_)
+    for (const auto& [sequence, current_job] : jobs_)
     {
-        if (owner->ended)
-            answers.push_back({sequence, owner->body_hash, owner->answer});
+        if (current_job->ended)
+            answers.push_back(
+                {sequence, current_job->body_hash, current_job->answer});
     }
     return answers;
 }
--- a/src/glenhollow/entry/coordinator.hpp
+++ b/src/glenhollow/entry/coordinator.hpp
@@ -14,7 +14,7 @@
 #include "glenhollow/decision/runner_view.hpp"
 #include "glenhollow/decision/team_quota.hpp"
 #include "glenhollow/entry/job.hpp"
-#include "glenhollow/entry/mint.hpp"
+#include "glenhollow/entry/sequence_generator.hpp"
 #include "glenhollow/explain/decision_ring.hpp"
 #include "glenhollow/telemetry/metrics.hpp"
 #include "glenhollow/telemetry/trace.hpp"
@@ -71,7 +71,7 @@
 {
     std::int32_t slots = 0;      ///< Tasks it can run at once.
     std::int32_t busy = 0;       ///< Running and queued there.
-    std::int32_t unreported = 0; ///< Starts sent that it had not seen yet.
+    std::int32_t in_transit = 0; ///< Starts sent that it had not seen yet.
     std::int32_t links = 1;      ///< Entry shards that are linked to it.
     bool draining = false;       ///< It refuses new starts.
     bool shunned = false;        ///< Its runner takes no connections.
@@ -100,7 +100,8 @@
     duration ack_delay = seconds{20};    ///< Results stay at agents so long.
     duration start_window = seconds{10}; ///< A start must begin within.
     double long_task_seconds = 1.0;      ///< Longer tasks keep slots free.
-    placement_kind placing = placement_kind::late_binding; ///< Strategy.
+    placement_kind placement_strategy =
+        placement_kind::late_binding;   ///< Strategy.
     placement_settings placement;       ///< Limits of placements.
     job_queue_settings queue;           ///< Order of jobs.
     admission_settings admission;       ///< Limits of admission.
@@ -157,7 +158,7 @@
     ~coordinator();
 
     /// @return A fresh submission id of this shard.
-    submission_id mint_id();
+    submission_id issue_id();
 
     /// Runs a job, or joins it, or answers from memory.
     /// @param sequence The submission, of this shard.
@@ -234,7 +235,7 @@
     decision_ring& ring() { return ring_; }
 
     /// @param exporter Where spans go, or null.
-    void trace_to(span_exporter* exporter) { spans_ = exporter; }
+    void set_span_exporter(span_exporter* exporter) { spans_ = exporter; }
 
     /// @return What is known of the runners.
     const std::vector<runner_view>& runners() const { return views_; }
@@ -244,7 +245,7 @@
 
     /// @param most Rows at most.
     /// @return Jobs, those in flight first.
-    std::vector<job_row> job_rows(std::size_t most) const;
+    std::vector<job_row> job_rows(std::size_t max_rows) const;
 
     /// One kept answer.
     struct kept_answer
@@ -299,44 +300,47 @@
 
     void refuse(std::uint64_t sequence, const api_problem& problem,
                 const answer_handler& done);
-    void join(job& known, const job_request& request, answer_handler done);
-    std::optional<api_problem> judge(const job_request& request, instant now);
+    void join_job(job& known, const job_request& request, answer_handler done);
+    std::optional<api_problem> check_admission(const job_request& request,
+                                               instant now);
     void admit_job(std::uint64_t sequence, job_request request,
                    std::optional<trace_context> trace, answer_handler done);
-    queued_job queue_entry(const job& owner, std::size_t tasks) const;
-    job_queue& queue_of(const job& owner);
+    queued_job queue_entry(const job& current_job, std::size_t tasks) const;
+    job_queue& queue_of(const job& current_job);
     job* next_job(bool& only_short);
-    bool place_next(job& owner, bool& blocked_long);
-    void send_task(job& owner, std::uint32_t number, runner_index runner,
+    bool place_next_task(job& current_job, bool& blocked_long);
+    void send_task(job& current_job, std::uint32_t number, runner_index runner,
                    reason why, instant now);
-    double rank_of(const job& owner, instant now) const;
-    void flush();
-    void end_in_job(job& owner, runner_index runner, task_end end);
-    void retry_or_fail(job& owner, runner_index runner, const task_end& end);
-    void complete(job& owner);
-    void fail(job& owner, reason why);
-    void settle(job& owner, job_answer answer, decision_kind kind,
-                verdict what);
+    double rank_of(const job& current_job, instant now) const;
+    void send_outbox();
+    void handle_task_end(job& current_job, runner_index runner, task_end end);
+    void retry_or_fail(job& current_job, runner_index runner,
+                       const task_end& end);
+    void complete_job(job& current_job);
+    void fail_job(job& current_job, reason why);
+    void finish_job(job& current_job, job_answer answer, decision_kind kind,
+                    verdict what);
     void acknowledge_later(runner_index runner, const task_key& key);
-    void note_health(runner_index runner, const task_end& end, double expected);
-    void note_length(job& owner, const task_end& end);
-    double expected_seconds(const std::string& team, double said) const;
-    void fence_self();
+    void record_health(runner_index runner, const task_end& end,
+                       double expected);
+    void note_length(job& current_job, const task_end& end);
+    double expected_seconds(const std::string& team, double requested) const;
+    void handle_fencing();
     void send_due_acks(instant now);
     void drop_expired(instant now);
     void log(decision_kind kind, std::uint64_t sequence, std::uint32_t task,
              runner_index runner, reason why, verdict what,
              duration length = {});
-    void trace_hop(const job& owner, std::string_view name, const task_key& key,
-                   std::int64_t begin, const trace_context& context,
-                   const std::string& parent);
+    void trace_hop(const job& current_job, std::string_view name,
+                   const task_key& key, std::int64_t begin,
+                   const trace_context& context, const std::string& parent);
 
     const clock_source& clock_;            ///< The entry's clock.
     start_sender& sender_;                 ///< Sends starts.
     std::uint64_t incarnation_;            ///< This start of the entry.
     coordinator_settings settings_;        ///< Limits in force.
     random_engine random_;                 ///< Of all choices.
-    mint mint_;                            ///< Sequence numbers.
+    sequence_generator sequences_;         ///< Sequence numbers.
     std::unique_ptr<placement> placement_; ///< Chooses runners.
     job_queue short_queue_;                ///< Jobs of short tasks.
     job_queue long_queue_;                 ///< Jobs of long tasks.
@@ -348,16 +352,17 @@
     span_exporter* spans_ = nullptr;       ///< May be null.
 
     std::unordered_map<std::uint64_t, std::unique_ptr<job>> jobs_; ///< All.
-    std::map<std::uint64_t, std::uint64_t> ended_order_;    ///< For expiry.
+    std::map<std::uint64_t, std::uint64_t> ended_jobs_;     ///< For expiry.
     std::size_t open_jobs_ = 0;                             ///< In flight.
     std::size_t kept_bytes_ = 0;                            ///< Of answers.
     std::set<std::pair<instant, std::uint64_t>> deadlines_; ///< Of open jobs.
-    std::set<delayed_task> delayed_;             ///< Waiting out a backoff.
-    std::deque<pending_ack> acks_;               ///< Oldest first.
-    std::map<std::string, double> task_seconds_; ///< Mean length by team.
-    std::vector<runner_view> views_;             ///< By index.
-    std::vector<bool> drained_;         ///< By index, by order or list.
-    std::vector<std::int32_t> sharers_; ///< By index, shards linked to it.
+    std::set<delayed_task> delayed_;       ///< Waiting out a backoff.
+    std::deque<pending_ack> pending_acks_; ///< Oldest first.
+    std::map<std::string, double> mean_task_seconds_; ///< Mean length by team.
+    std::vector<runner_view> views_;                  ///< By index.
+    std::vector<bool> drained_; ///< By index, by order or list.
+    std::vector<std::int32_t>
+        linked_shards_; ///< By index, shards linked to it.
     std::map<runner_index, std::vector<outgoing_start>> outbox_; ///< To send.
     bool stopping_ = false;         ///< No new jobs.
     bool fenced_ = false;           ///< Another entry adopted us.
--- a/src/glenhollow/entry/entry_node.cpp
+++ b/src/glenhollow/entry/entry_node.cpp
@@ -54,8 +54,8 @@
     };
     job_limits limits;
     limits.max_tasks = static_cast<std::size_t>(values.max_tasks);
-    limits.longest_deadline = length(values.longest_deadline_s);
-    limits.usual_deadline = length(values.usual_deadline_s);
+    limits.max_deadline = length(values.longest_deadline_s);
+    limits.default_deadline = length(values.usual_deadline_s);
     return limits;
 }
 
@@ -181,7 +181,7 @@
 
     // entry_backend
 
-    std::vector<submission_id> mint_ids(std::size_t count) override
+    std::vector<submission_id> issue_ids(std::size_t count) override
     {
         // A traffic thread mints for itself: no lock, and the job stays on
         // the thread that has its caller.
@@ -189,11 +189,11 @@
         assert(here);
         std::vector<submission_id> ids;
         for (std::size_t i = 0; i < count; ++i)
-            ids.push_back(here->jobs().mint_id());
+            ids.push_back(here->jobs().issue_id());
         return ids;
     }
 
-    void submit(routed_job job, answer_sink done) override
+    void submit(routed_job job, answer_callback done) override
     {
         if (job.id.incarnation != incarnation)
         {
@@ -222,7 +222,7 @@
                 });
     }
 
-    void lookup(const submission_id& id, answer_sink done) override
+    void lookup(const submission_id& id, answer_callback done) override
     {
         if (id.incarnation != incarnation)
         {
@@ -239,7 +239,7 @@
     }
 
     void operate(std::string statement, std::string by,
-                 answer_sink done) override
+                 answer_callback done) override
     {
         asio::post(control.io(),
                    [this, statement = std::move(statement), by = std::move(by),
@@ -284,7 +284,7 @@
     job_limits limits() const override { return rules.load()->limits; }
 
     std::optional<std::string>
-    operator_of(std::string_view authorization) const override
+    authenticate_operator(std::string_view authorization) const override
     {
         return tokens.owner_of(authorization);
     }
--- a/src/glenhollow/entry/foreign_jobs.cpp
+++ b/src/glenhollow/entry/foreign_jobs.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-api_problem unreachable(const submission_id& id)
+api_problem entry_unreachable_problem(const submission_id& id)
 {
     return {503, reason::entry_unreachable,
             "entry " + id.entry +
@@ -35,8 +35,8 @@
     /// A request that waits for the adoption.
     struct waiting_request
     {
-        request asked;    ///< The request.
-        answer_sink done; ///< Whom to tell.
+        request incoming;     ///< The request.
+        answer_callback done; ///< Whom to tell.
     };
 
     std::uint64_t incarnation;            ///< Which.
@@ -45,11 +45,11 @@
     bool adopted = false;                 ///< Its agents were fenced.
     bool ready = false;                   ///< Adopted or handed over.
     std::vector<waiting_request> waiting; ///< For the adoption.
-    std::vector<member> to_ask;           ///< Agents in the next round.
-    std::size_t open = 0;                 ///< Agents not yet answered.
+    std::vector<member> agents_to_fence;  ///< Agents in the next round.
+    std::size_t pending_replies = 0;      ///< Agents not yet answered.
     bool declined = false;                ///< By one in this round.
     std::vector<member> ask_again;        ///< Tasks still run there.
-    std::size_t unreached = 0;            ///< Agents that gave no answer.
+    std::size_t unreachable_agents = 0;   ///< Agents that gave no answer.
     instant since{};                      ///< When it began or was ready.
 };
 
@@ -65,122 +65,126 @@
 foreign_jobs::~foreign_jobs() = default;
 
 job_answer foreign_jobs::answer_from(const incarnation_state& state,
-                                     const request& asked) const
+                                     const request& incoming) const
 {
     std::optional<std::uint64_t> hash;
-    if (asked.body)
-        hash = hash_body(*asked.body);
-    return state.answers.answer(asked.id.sequence, hash);
+    if (incoming.body)
+        hash = hash_body(*incoming.body);
+    return state.answers.answer(incoming.id.sequence, hash);
 }
 
-void foreign_jobs::resolve(request asked, answer_sink done)
+void foreign_jobs::resolve(request incoming, answer_callback done)
 {
-    const auto known = incarnations_.find(asked.id.incarnation);
+    const auto known = incarnations_.find(incoming.id.incarnation);
     if (known != incarnations_.end() && known->second->ready)
-        return done(answer_from(*known->second, asked));
-    const auto* report = peers_.report_of(asked.id.entry);
-    if (report && report->incarnation == asked.id.incarnation)
+        return done(answer_from(*known->second, incoming));
+    const auto* report = peers_.report_of(incoming.id.entry);
+    if (report && report->incarnation == incoming.id.incarnation)
     {
-        const auto to = asked.id.entry;
-        return forward(to, std::move(asked), false, std::move(done));
+        const auto to = incoming.id.entry;
+        return forward(to, std::move(incoming), false, std::move(done));
     }
-    if (asked.adopt)
-        return adopt(std::move(asked), std::move(done));
-    find_holder(std::move(asked), std::move(done));
+    if (incoming.adopt)
+        return adopt(std::move(incoming), std::move(done));
+    find_holder(std::move(incoming), std::move(done));
 }
 
-void foreign_jobs::forward(const std::string& to, request asked, bool adopt,
-                           answer_sink done)
+void foreign_jobs::forward(const std::string& to, request incoming, bool adopt,
+                           answer_callback done)
 {
     ++forwarded_;
-    const auto id = asked.id;
-    auto told = [id, done = std::move(done)](std::optional<job_answer> answer)
-    { done(answer ? std::move(*answer) : unreachable(id).to_answer()); };
-    if (asked.body)
-        peers_.submit(to, id.to_string(), *asked.body, asked.traceparent, adopt,
-                      std::move(told));
+    const auto id = incoming.id;
+    auto on_answer =
+        [id, done = std::move(done)](std::optional<job_answer> answer)
+    {
+        done(answer ? std::move(*answer)
+                    : entry_unreachable_problem(id).to_answer());
+    };
+    if (incoming.body)
+        peers_.submit(to, id.to_string(), *incoming.body, incoming.traceparent,
+                      adopt, std::move(on_answer));
     else
-        peers_.lookup(to, id.to_string(), adopt, std::move(told));
+        peers_.lookup(to, id.to_string(), adopt, std::move(on_answer));
 }
 
-void foreign_jobs::find_holder(request asked, answer_sink done)
+void foreign_jobs::find_holder(request incoming, answer_callback done)
 {
-    const auto heir = heirs_.find(asked.id.incarnation);
-    if (heir != heirs_.end() && peers_.report_of(heir->second))
+    const auto heir = holders_.find(incoming.id.incarnation);
+    if (heir != holders_.end() && peers_.report_of(heir->second))
     {
         const auto to = heir->second;
-        return forward(to, std::move(asked), true, std::move(done));
+        return forward(to, std::move(incoming), true, std::move(done));
     }
     // An heir that was named before we came is found by asking around.
     const auto others = peers_.reachable();
     if (others.empty())
-        return choose_adopter(std::move(asked), std::move(done));
+        return choose_adopter(std::move(incoming), std::move(done));
     struct search
     {
-        request asked;
-        answer_sink done;
-        std::size_t open;
+        request incoming;
+        answer_callback done;
+        std::size_t pending_replies;
         bool found = false;
     };
     auto state = std::make_shared<search>(
-        search{std::move(asked), std::move(done), others.size()});
+        search{std::move(incoming), std::move(done), others.size()});
     for (const auto& name : others)
     {
-        peers_.holds(name, state->asked.id.incarnation,
+        peers_.holds(name, state->incoming.id.incarnation,
                      [this, state, name](bool held)
                      {
-                         --state->open;
+                         --state->pending_replies;
                          if (state->found)
                              return;
                          if (held)
                          {
                              state->found = true;
-                             heirs_[state->asked.id.incarnation] = name;
-                             return forward(name, std::move(state->asked), true,
-                                            std::move(state->done));
+                             holders_[state->incoming.id.incarnation] = name;
+                             return forward(name, std::move(state->incoming),
+                                            true, std::move(state->done));
                          }
-                         if (state->open == 0)
-                             choose_adopter(std::move(state->asked),
+                         if (state->pending_replies == 0)
+                             choose_adopter(std::move(state->incoming),
                                             std::move(state->done));
                      });
     }
 }
 
-void foreign_jobs::choose_adopter(request asked, answer_sink done)
+void foreign_jobs::choose_adopter(request incoming, answer_callback done)
 {
     // All entries rank alike, so that one of them adopts and all agree on the
     // answers.
     auto candidates = peers_.reachable();
     candidates.push_back(settings_.entry);
-    const auto ranked = rendezvous_order(std::to_string(asked.id.incarnation),
-                                         std::move(candidates));
+    const auto ranked = rendezvous_order(
+        std::to_string(incoming.id.incarnation), std::move(candidates));
     if (ranked.front() == settings_.entry)
-        return adopt(std::move(asked), std::move(done));
-    forward(ranked.front(), std::move(asked), true, std::move(done));
+        return adopt(std::move(incoming), std::move(done));
+    forward(ranked.front(), std::move(incoming), true, std::move(done));
 }
 
-void foreign_jobs::adopt(request asked, answer_sink done)
+void foreign_jobs::adopt(request incoming, answer_callback done)
 {
-    auto& known = incarnations_[asked.id.incarnation];
+    auto& known = incarnations_[incoming.id.incarnation];
     const bool fresh = !known;
     if (fresh)
     {
         known = std::make_shared<incarnation_state>(
-            asked.id.hall, asked.id.entry, asked.id.incarnation);
+            incoming.id.hall, incoming.id.entry, incoming.id.incarnation);
         known->since = clock_.now();
     }
     const auto state = known;
-    state->waiting.push_back({std::move(asked), std::move(done)});
+    state->waiting.push_back({std::move(incoming), std::move(done)});
     if (!fresh)
         return;
-    state->to_ask = agents_of(state->waiting.front().asked.id);
-    fence_all(state);
+    state->agents_to_fence = agents_of(state->waiting.front().incoming.id);
+    run_fence_round(state);
 }
 
 std::vector<member> foreign_jobs::agents_of(const submission_id& id) const
 {
     auto runners = members_.with_role(member_role::runner);
-    if (runners.size() <= settings_.ask_all)
+    if (runners.size() <= settings_.max_agents_without_subset)
         return runners;
     // In a large system only the agents are asked that the entry can have had
     // links to; twice as many as now, since members have come and gone.
@@ -188,84 +192,88 @@
     if (!members_.find(id.entry))
         entries.push_back(
             {id.entry, member_role::entry, id.hall, {}, member_state::leaving});
-    auto wide = settings_.subset;
-    wide.own_hall *= 2;
-    wide.other_halls *= 2;
-    return link_subset(id.entry, entries, runners, wide);
+    auto widened_subset = settings_.subset;
+    widened_subset.own_hall *= 2;
+    widened_subset.other_halls *= 2;
+    return link_subset(id.entry, entries, runners, widened_subset);
 }
 
-void foreign_jobs::fence_all(const std::shared_ptr<incarnation_state>& state)
+void foreign_jobs::run_fence_round(
+    const std::shared_ptr<incarnation_state>& state)
 {
-    auto agents = std::exchange(state->to_ask, {});
-    state->open = agents.size();
+    auto agents = std::exchange(state->agents_to_fence, {});
+    state->pending_replies = agents.size();
     state->declined = false;
     state->ask_again.clear();
     if (agents.empty())
-        return fenced_all(state);
+        return finish_fence_round(state);
     for (const auto& agent : agents)
     {
         agents_.fence(agent, state->incarnation,
-                      [this, state, agent](const fence_answer& answer)
+                      [this, state, agent](const fence_reply& answer)
                       {
-                          if (!answer.reached)
-                              ++state->unreached;
+                          if (!answer.answered)
+                              ++state->unreachable_agents;
                           if (answer.declined)
                               state->declined = true;
                           if (answer.declined || answer.unfinished > 0)
                               state->ask_again.push_back(agent);
                           state->answers.add(answer.records);
-                          if (--state->open == 0)
-                              fenced_all(state);
+                          if (--state->pending_replies == 0)
+                              finish_fence_round(state);
                       });
     }
 }
 
-void foreign_jobs::fenced_all(const std::shared_ptr<incarnation_state>& state)
+void foreign_jobs::finish_fence_round(
+    const std::shared_ptr<incarnation_state>& state)
 {
     const auto waited = clock_.now() - state->since;
-    if (state->declined && waited > settings_.longest_decline)
-        return give_up(state);
-    const bool ask_again = !state->ask_again.empty() &&
-                           (state->declined || waited < settings_.longest_wait);
+    if (state->declined && waited > settings_.decline_timeout)
+        return decline_adoption(state);
+    const bool ask_again =
+        !state->ask_again.empty() &&
+        (state->declined || waited < settings_.max_unfinished_wait);
     if (ask_again)
     {
-        state->to_ask = state->ask_again;
-        const auto pause =
-            state->declined ? settings_.retry_decline : settings_.ask_again;
-        return run_after(io_, pause, [this, state] { fence_all(state); });
+        state->agents_to_fence = state->ask_again;
+        const auto pause = state->declined ? settings_.decline_retry_interval
+                                           : settings_.ask_again;
+        return run_after(io_, pause, [this, state] { run_fence_round(state); });
     }
     state->ready = state->adopted = true;
     state->since = clock_.now();
     ++adoptions_;
-    const adoption_report report{state->entry, state->incarnation,
-                                 state->answers.jobs(),
-                                 state->answers.whole_jobs(), state->unreached};
+    const adoption_report report{
+        state->entry, state->incarnation, state->answers.jobs(),
+        state->answers.complete_jobs(), state->unreachable_agents};
     log_change(log_level::warning, "entry_adopted",
                {{"entry", report.entry},
                 {"jobs", report.jobs},
-                {"whole", report.whole},
-                {"agents_unreached", report.unreached}});
+                {"whole", report.complete_jobs},
+                {"unreachable_agents", report.unreachable_agents}});
     if (adopted_)
         adopted_(report);
-    answer_waiting(state);
+    answer_waiting_requests(state);
 }
 
-void foreign_jobs::answer_waiting(
+void foreign_jobs::answer_waiting_requests(
     const std::shared_ptr<incarnation_state>& state)
 {
     const auto waiting = std::exchange(state->waiting, {});
     for (const auto& one : waiting)
-        one.done(answer_from(*state, one.asked));
+        one.done(answer_from(*state, one.incoming));
 }
 
-void foreign_jobs::give_up(const std::shared_ptr<incarnation_state>& state)
+void foreign_jobs::decline_adoption(
+    const std::shared_ptr<incarnation_state>& state)
 {
     // An agent still hears from it: it lives, only we cannot reach it.
-    ++declined_;
+    ++declined_adoptions_;
     incarnations_.erase(state->incarnation);
     const auto waiting = std::exchange(state->waiting, {});
     for (const auto& one : waiting)
-        one.done(unreachable(one.asked.id).to_answer());
+        one.done(entry_unreachable_problem(one.incoming.id).to_answer());
 }
 
 void foreign_jobs::keep(const std::string& entry, const std::string& hall,
@@ -282,7 +290,7 @@
     known->answers.keep(answers);
     known->ready = true;
     known->since = clock_.now();
-    answer_waiting(known);
+    answer_waiting_requests(known);
 }
 
 bool foreign_jobs::holds(std::uint64_t incarnation) const
@@ -290,21 +298,21 @@
     return incarnations_.contains(incarnation);
 }
 
-void foreign_jobs::note_report(const std::string&, const peer_report& report)
+void foreign_jobs::on_peer_report(const std::string&, const peer_report& report)
 {
     if (report.stopping && !report.heir.empty())
-        heirs_[report.incarnation] = report.heir;
+        holders_[report.incarnation] = report.heir;
 }
 
 void foreign_jobs::tick()
 {
-    const instant oldest = clock_.now() - settings_.keep_for;
+    const instant oldest = clock_.now() - settings_.answer_retention;
     std::erase_if(incarnations_, [&](const auto& one)
                   { return one.second->ready && one.second->since < oldest; });
     // Heirs are few; they are dropped in bulk once they are many.
-    constexpr std::size_t most_heirs = 10'000;
-    if (heirs_.size() > most_heirs)
-        heirs_.clear();
+    constexpr std::size_t max_holders = 10'000;
+    if (holders_.size() > max_holders)
+        holders_.clear();
 }
 
 void foreign_jobs::collect(metric_page& page) const
@@ -313,7 +321,7 @@
                  static_cast<double>(adoptions_));
     page.counter("adoptions_declined_total",
                  "Adoptions given up because the entry is alive",
-                 static_cast<double>(declined_));
+                 static_cast<double>(declined_adoptions_));
     page.counter("forwarded_total", "Requests sent on to other entries",
                  static_cast<double>(forwarded_));
     page.gauge("incarnations_held", "Incarnations whose answers are here",
--- a/src/glenhollow/entry/foreign_jobs.hpp
+++ b/src/glenhollow/entry/foreign_jobs.hpp
@@ -25,24 +25,27 @@
 /// Settings of the treatment of other entries' submissions.
 struct foreign_jobs_settings
 {
-    std::string entry = "entry";      ///< Our name.
-    link_subset_settings subset;      ///< Of links, the same at all entries.
-    std::size_t ask_all = 512;        ///< Runners that are all asked.
-    duration keep_for = seconds{300}; ///< Answers of an adopted incarnation.
+    std::string entry = "entry"; ///< Our name.
+    link_subset_settings subset; ///< Of links, the same at all entries.
+    std::size_t max_agents_without_subset =
+        512; ///< Runners that are all asked.
+    duration answer_retention =
+        seconds{300}; ///< Answers of an adopted incarnation.
     duration ask_again = milliseconds{200};     ///< While tasks still run.
-    duration longest_wait = seconds{60};        ///< For tasks that still run.
-    duration retry_decline = milliseconds{300}; ///< After a declined fence.
-    duration longest_decline = seconds{3};      ///< Then the caller is told.
+    duration max_unfinished_wait = seconds{60}; ///< For tasks that still run.
+    duration decline_retry_interval =
+        milliseconds{300};                 ///< After a declined fence.
+    duration decline_timeout = seconds{3}; ///< Then the caller is told.
 };
 
 /// Told of an adoption that has ended.
 struct adoption_report
 {
-    std::string entry;             ///< Whose jobs were adopted.
-    std::uint64_t incarnation = 0; ///< Of that entry.
-    std::size_t jobs = 0;          ///< Jobs found at agents.
-    std::size_t whole = 0;         ///< Of them, answered complete.
-    std::size_t unreached = 0;     ///< Agents that gave no answer.
+    std::string entry;                  ///< Whose jobs were adopted.
+    std::uint64_t incarnation = 0;      ///< Of that entry.
+    std::size_t jobs = 0;               ///< Jobs found at agents.
+    std::size_t complete_jobs = 0;      ///< Of them, answered complete.
+    std::size_t unreachable_agents = 0; ///< Agents that gave no answer.
 };
 
 /// Submissions that another entry minted: forwards them to it by name, or to
@@ -80,7 +83,7 @@
 
     /// @param asked The request.
     /// @param done Told its answer.
-    void resolve(request asked, answer_sink done);
+    void resolve(request incoming, answer_callback done);
 
     /// Takes answers that a stopping entry hands over.
     /// @param entry Its name.
@@ -98,7 +101,7 @@
     /// Notes what a peer reported of itself, a planned stop above all.
     /// @param entry Its name.
     /// @param report What it reported.
-    void note_report(const std::string& entry, const peer_report& report);
+    void on_peer_report(const std::string& entry, const peer_report& report);
 
     /// Forgets incarnations after their time.
     void tick();
@@ -109,18 +112,19 @@
 private:
     struct incarnation_state;
 
-    void forward(const std::string& to, request asked, bool adopt,
-                 answer_sink done);
-    void find_holder(request asked, answer_sink done);
-    void choose_adopter(request asked, answer_sink done);
-    void adopt(request asked, answer_sink done);
+    void forward(const std::string& to, request incoming, bool adopt,
+                 answer_callback done);
+    void find_holder(request incoming, answer_callback done);
+    void choose_adopter(request incoming, answer_callback done);
+    void adopt(request incoming, answer_callback done);
     std::vector<member> agents_of(const submission_id& id) const;
-    void fence_all(const std::shared_ptr<incarnation_state>& state);
-    void fenced_all(const std::shared_ptr<incarnation_state>& state);
-    void answer_waiting(const std::shared_ptr<incarnation_state>& state);
-    void give_up(const std::shared_ptr<incarnation_state>& state);
+    void run_fence_round(const std::shared_ptr<incarnation_state>& state);
+    void finish_fence_round(const std::shared_ptr<incarnation_state>& state);
+    void
+    answer_waiting_requests(const std::shared_ptr<incarnation_state>& state);
+    void decline_adoption(const std::shared_ptr<incarnation_state>& state);
     job_answer answer_from(const incarnation_state& state,
-                           const request& asked) const;
+                           const request& incoming) const;
 
     boost::asio::io_context& io_;    ///< Runs the timers.
     const clock_source& clock_;      ///< The entry's clock.
@@ -131,10 +135,10 @@
     std::function<void(const adoption_report&)> adopted_; ///< May be empty.
     std::map<std::uint64_t, std::shared_ptr<incarnation_state>>
         incarnations_; ///< Whose answers are here, or will be.
-    std::map<std::uint64_t, std::string> heirs_; ///< By incarnation.
-    std::uint64_t adoptions_ = 0;                ///< Ended.
-    std::uint64_t declined_ = 0;  ///< Given up, the entry being alive.
-    std::uint64_t forwarded_ = 0; ///< Requests sent on.
+    std::map<std::uint64_t, std::string> holders_; ///< By incarnation.
+    std::uint64_t adoptions_ = 0;                  ///< Ended.
+    std::uint64_t declined_adoptions_ = 0; ///< Given up, the entry being alive.
+    std::uint64_t forwarded_ = 0;          ///< Requests sent on.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/job.cpp
+++ b/src/glenhollow/entry/job.cpp
@@ -22,7 +22,7 @@
 
 constexpr unsigned status_bad_request = 400;
 constexpr unsigned status_too_large = 413;
-constexpr std::int64_t longest_expected_ms = 3'600'000;
+constexpr std::int64_t max_expected_ms = 3'600'000;
 
 api_problem malformed(std::string detail)
 {
@@ -59,15 +59,14 @@
 {
     const auto* given = job.if_contains("deadline_ms");
     if (!given)
-        return limits.usual_deadline;
-    const auto most =
-        std::chrono::duration_cast<milliseconds>(limits.longest_deadline)
-            .count();
-    const bool fits = given->is_int64() && given->get_int64() >= 1 &&
-                      given->get_int64() <= most;
-    if (!fits)
+        return limits.default_deadline;
+    const auto max_ms =
+        std::chrono::duration_cast<milliseconds>(limits.max_deadline).count();
+    const bool is_valid = given->is_int64() && given->get_int64() >= 1 &&
+                          given->get_int64() <= max_ms;
+    if (!is_valid)
         return malformed("deadline_ms must be a whole number in 1.." +
-                         std::to_string(most));
+                         std::to_string(max_ms));
     return duration(milliseconds{given->get_int64()});
 }
 
@@ -117,11 +116,11 @@
     const auto* given = job.if_contains("expected_ms");
     if (!given)
         return 0.0;
-    const bool fits = given->is_int64() && given->get_int64() >= 0 &&
-                      given->get_int64() <= longest_expected_ms;
-    if (!fits)
+    const bool is_valid = given->is_int64() && given->get_int64() >= 0 &&
+                          given->get_int64() <= max_expected_ms;
+    if (!is_valid)
         return malformed("expected_ms must be a whole number in 0.." +
-                         std::to_string(longest_expected_ms));
+                         std::to_string(max_expected_ms));
     return static_cast<double>(given->get_int64()) / 1000.0;
 }
 
--- a/src/glenhollow/entry/job.hpp
+++ b/src/glenhollow/entry/job.hpp
@@ -17,9 +17,9 @@
 /// Limits of one job.
 struct job_limits
 {
-    std::size_t max_tasks = 1000;             ///< In one job.
-    duration longest_deadline = seconds{120}; ///< A caller may ask for.
-    duration usual_deadline = seconds{30};    ///< When a caller names none.
+    std::size_t max_tasks = 1000;            ///< In one job.
+    duration max_deadline = seconds{120};    ///< A caller may ask for.
+    duration default_deadline = seconds{30}; ///< When a caller names none.
 };
 
 /// A job as a caller sent it, checked.
--- a/src/glenhollow/entry/operator_service.cpp
+++ b/src/glenhollow/entry/operator_service.cpp
@@ -68,7 +68,7 @@
 }
 
 void operator_service::run(const std::string& text, const std::string& by,
-                           statement_scope scope, answer_sink done)
+                           statement_scope scope, answer_callback done)
 {
     auto on =
         std::make_shared<context>(context{text, by, scope, std::move(done)});
@@ -518,7 +518,7 @@
 void operator_service::run_created(const std::shared_ptr<routed_job>& job,
                                    const context_ptr& on)
 {
-    job->id = backend_.mint_ids(1).front();
+    job->id = backend_.issue_ids(1).front();
     const auto id = job->id;
     // The operator is told the id at once, or that it was refused at once.
     auto told = std::make_shared<bool>(false);
--- a/src/glenhollow/entry/operator_service.hpp
+++ b/src/glenhollow/entry/operator_service.hpp
@@ -36,7 +36,7 @@
     /// @param scope Whom it asks.
     /// @param done Told the answer.
     void run(const std::string& text, const std::string& by,
-             statement_scope scope, answer_sink done);
+             statement_scope scope, answer_callback done);
 
 private:
     struct context;
--- a/src/glenhollow/entry/operator_service_context.hpp
+++ b/src/glenhollow/entry/operator_service_context.hpp
@@ -16,7 +16,7 @@
     std::string text;      ///< As written.
     std::string by;        ///< Which operator.
     statement_scope scope; ///< Whom it asks.
-    answer_sink done;      ///< Told the answer.
+    answer_callback done;  ///< Told the answer.
 
     void refuse(const api_problem& problem) const { done(problem.to_answer()); }
 };
--- a/src/glenhollow/entry/peer_links.cpp
+++ b/src/glenhollow/entry/peer_links.cpp
@@ -416,8 +416,9 @@
                                                { done(false); }));
 }
 
-void peer_links::pull(const std::string& entry, const configuration& known,
-                      std::function<void(const configuration&)> done)
+void peer_links::fetch_configuration(
+    const std::string& entry, const configuration& known,
+    std::function<void(const configuration&)> done)
 {
     auto* to = usable(entry);
     if (!to)
--- a/src/glenhollow/entry/peer_links.hpp
+++ b/src/glenhollow/entry/peer_links.hpp
@@ -163,8 +163,9 @@
     /// @param entry Whom.
     /// @param known Ours.
     /// @param done Told the newer one; not called without it.
-    void pull(const std::string& entry, const configuration& known,
-              std::function<void(const configuration&)> done);
+    void fetch_configuration(const std::string& entry,
+                             const configuration& known,
+                             std::function<void(const configuration&)> done);
 
     /// Asks for the members an address knows, without a link to it.
     /// @param where An entry's RPC address.
--- a/src/glenhollow/entry/peer_service.cpp
+++ b/src/glenhollow/entry/peer_service.cpp
@@ -28,7 +28,7 @@
     }
 
     /// @return A sink for the answer.
-    answer_sink sink()
+    answer_callback sink()
     {
         return [&io = io_, fulfiller = fulfiller_](job_answer answer)
         {
--- a/src/glenhollow/entry/mint.cpp
+++ b/src/glenhollow/entry/sequence_generator.cpp
@@ -1,4 +1,4 @@
-#include "glenhollow/entry/mint.hpp"
+#include "glenhollow/entry/sequence_generator.hpp"
 
 namespace glenhollow
 {
@@ -7,14 +7,14 @@
 {
 
 /// Numbers minted within this time share one entry of the mint's memory.
-constexpr duration batch_length = milliseconds{100};
+constexpr duration batch_interval = milliseconds{100};
 
 } // namespace
 
-std::uint64_t mint::next(instant now)
+std::uint64_t sequence_generator::next(instant now)
 {
     ++count_;
-    if (batches_.empty() || now - batches_.back().at > batch_length)
+    if (batches_.empty() || now - batches_.back().at > batch_interval)
         batches_.push_back({count_, now});
     // The batch keeps the time of its first number: all expire a little early
     // rather than late, never before their record.
@@ -22,23 +22,24 @@
     return sequence_of(count_);
 }
 
-std::uint64_t mint::low_water(instant now)
+std::uint64_t sequence_generator::low_water(instant now)
 {
     while (!batches_.empty() && now - batches_.front().at > lifetime_)
     {
-        expired_ = batches_.front().last;
+        expired_count_ = batches_.front().last;
         batches_.pop_front();
     }
-    return sequence_of(expired_ + 1);
+    return sequence_of(expired_count_ + 1);
 }
 
-mint_state mint::state_of(std::uint64_t sequence, instant now)
+sequence_state sequence_generator::state_of(std::uint64_t sequence, instant now)
 {
     const bool is_ours = sequence % shards_ == shard_;
     const std::uint64_t count = sequence / shards_;
     if (!is_ours || count == 0 || count > count_)
-        return mint_state::never_minted;
-    return sequence < low_water(now) ? mint_state::expired : mint_state::valid;
+        return sequence_state::never_issued;
+    return sequence < low_water(now) ? sequence_state::expired
+                                     : sequence_state::valid;
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/mint.hpp
+++ b/src/glenhollow/entry/sequence_generator.hpp
@@ -1,5 +1,5 @@
-#ifndef GLENHOLLOW_ENTRY_MINT_HPP
-#define GLENHOLLOW_ENTRY_MINT_HPP
+#ifndef GLENHOLLOW_ENTRY_SEQUENCE_GENERATOR_HPP
+#define GLENHOLLOW_ENTRY_SEQUENCE_GENERATOR_HPP
 
 #include "glenhollow/core/clock.hpp"
 
@@ -10,22 +10,23 @@
 {
 
 /// What a sequence number says of itself.
-enum class mint_state : std::uint8_t
+enum class sequence_state : std::uint8_t
 {
-    never_minted, ///< Nobody was given this number.
+    never_issued, ///< Nobody was given this number.
     valid,        ///< A submission may run under it.
     expired       ///< Below the low-water mark: refused for good.
 };
 
 /// Gives out the sequence numbers of one shard and remembers when, so that
 /// old ones can be refused without a record of each. Pure state.
-class mint final
+class sequence_generator final
 {
 public:
     /// @param shard This shard's number, from 0.
     /// @param shards Shards of the entry; numbers of a shard differ by that.
     /// @param lifetime How long a number is good for.
-    mint(std::uint32_t shard, std::uint32_t shards, duration lifetime)
+    sequence_generator(std::uint32_t shard, std::uint32_t shards,
+                       duration lifetime)
         : shard_(shard), shards_(shards), lifetime_(lifetime)
     {
     }
@@ -37,7 +38,7 @@
     /// @param sequence A number that a caller brought.
     /// @param now The time.
     /// @return Whether a submission may run under it.
-    mint_state state_of(std::uint64_t sequence, instant now);
+    sequence_state state_of(std::uint64_t sequence, instant now);
 
     /// @param now The time.
     /// @return The smallest number that is still good.
@@ -59,12 +60,12 @@
         return count * shards_ + shard_;
     }
 
-    std::uint32_t shard_;       ///< This shard.
-    std::uint32_t shards_;      ///< All shards.
-    duration lifetime_;         ///< Of a number.
-    std::uint64_t count_ = 0;   ///< Numbers minted.
-    std::uint64_t expired_ = 0; ///< Counts up to this are expired.
-    std::deque<batch> batches_; ///< Oldest first.
+    std::uint32_t shard_;             ///< This shard.
+    std::uint32_t shards_;            ///< All shards.
+    duration lifetime_;               ///< Of a number.
+    std::uint64_t count_ = 0;         ///< Numbers minted.
+    std::uint64_t expired_count_ = 0; ///< Counts up to this are expired.
+    std::deque<batch> batches_;       ///< Oldest first.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/shard.cpp
+++ b/src/glenhollow/entry/shard.cpp
@@ -43,7 +43,7 @@
     made->coordinator_ = std::make_unique<coordinator>(
         process_clock(), *made->links_, settings.incarnation,
         settings.coordinator, settings.seed);
-    made->coordinator_->trace_to(spans);
+    made->coordinator_->set_span_exporter(spans);
     made->coordinator_->ring().on_notable(
         [self](const decision_record& record)
         { self->notables_.add(self->to_line(record)); });
--- a/tests/schedule/simulated_world.cpp
+++ b/tests/schedule/simulated_world.cpp
@@ -195,7 +195,7 @@
     limits.id_lifetime = seconds{20};
     limits.start_window = milliseconds{400};
     limits.ring_records = 16;
-    limits.placing = static_cast<placement_kind>(random_() % 4);
+    limits.placement_strategy = static_cast<placement_kind>(random_() % 4);
     entry.jobs = std::make_unique<coordinator>(
         clock_, *entry.sender, entry.incarnation, limits, random_());
     entries_.push_back(std::move(made));
@@ -622,7 +622,7 @@
                auto& owner = *entries_[job.entry];
                if (owner.dead)
                    return;
-               const auto id = owner.jobs->mint_id();
+               const auto id = owner.jobs->issue_id();
                job.sequence = id.sequence;
                job.id = id.to_string();
                const auto tasks = 1 + random_() % 6;
--- a/tests/unit/entry/adopted_answers_tests.cpp
+++ b/tests/unit/entry/adopted_answers_tests.cpp
@@ -19,7 +19,7 @@
     return made;
 }
 
-bool has(const job_answer& answer, const std::string& part)
+bool body_contains(const job_answer& answer, const std::string& part)
 {
     return answer.body.find(part) != std::string::npos;
 }
@@ -30,14 +30,14 @@
 {
     adopted_answers answers("h1", "e1", 9);
     answers.add({record(1, 1, 2, verdict::ran)});
-    REQUIRE(has(answers.answer(1, 5), "may_have_run"));
+    REQUIRE(body_contains(answers.answer(1, 5), "may_have_run"));
     answers.add({record(1, 0, 2, verdict::ran)});
-    REQUIRE(has(answers.answer(1, 5), R"("results":[0,1])"));
-    REQUIRE(has(answers.answer(1, std::nullopt), "complete"));
+    REQUIRE(body_contains(answers.answer(1, 5), R"("results":[0,1])"));
+    REQUIRE(body_contains(answers.answer(1, std::nullopt), "complete"));
     answers.add({record(2, 0, 2, verdict::ran),
                  record(2, 1, 2, verdict::may_have_run)});
-    REQUIRE(has(answers.answer(2, 5), "entry_lost"));
-    REQUIRE(answers.whole_jobs() == 1);
+    REQUIRE(body_contains(answers.answer(2, 5), "entry_lost"));
+    REQUIRE(answers.complete_jobs() == 1);
 }
 
 TEST_CASE("a handed over answer is given as it was, another body refused")
@@ -45,7 +45,7 @@
     adopted_answers answers("h1", "e1", 9);
     job_answer kept;
     kept.body = "kept";
-    answers.keep({{4, 6, kept}});
+    answers.add_kept_answers({{4, 6, kept}});
     REQUIRE(answers.answer(4, 6).body == "kept");
     REQUIRE(answers.answer(4, 7).status == 409);
     answers.add({record(1, 0, 1, verdict::ran)});
@@ -55,5 +55,5 @@
 TEST_CASE("a job nobody knows may have run")
 {
     adopted_answers answers("h1", "e1", 9);
-    REQUIRE(has(answers.answer(8, 5), R"("verdict":"may_have_run")"));
+    REQUIRE(body_contains(answers.answer(8, 5), R"("verdict":"may_have_run")"));
 }
--- a/tests/unit/entry/coordinator_tests.cpp
+++ b/tests/unit/entry/coordinator_tests.cpp
@@ -46,7 +46,7 @@
 
     std::uint64_t submit(const job_request& job)
     {
-        const auto id = jobs.mint_id();
+        const auto id = jobs.issue_id();
         submit(id.sequence, job);
         return id.sequence;
     }
@@ -59,9 +59,9 @@
         jobs.dispatch();
     }
 
-    void end(std::size_t place, verdict what, reason why = reason::none)
+    void end(std::size_t position, verdict what, reason why = reason::none)
     {
-        const auto& [runner, start] = sender.sent.at(place);
+        const auto& [runner, start] = sender.sent.at(position);
         task_end done;
         done.key = start.key;
         done.end = {what, why};
@@ -74,14 +74,14 @@
         jobs.dispatch();
     }
 
-    void pass(duration time)
+    void advance_time(duration time)
     {
         clock.advance(time);
         jobs.tick();
     }
 };
 
-bool has(const job_answer& answer, const std::string& part)
+bool body_contains(const job_answer& answer, const std::string& part)
 {
     return answer.body.find(part) != std::string::npos;
 }
@@ -98,7 +98,7 @@
     REQUIRE(f.answers.empty());
     f.end(1, verdict::ran);
     REQUIRE(f.answers.size() == 1);
-    REQUIRE(has(f.answers[0], R"("results":["0","1","2"])"));
+    REQUIRE(body_contains(f.answers[0], R"("results":["0","1","2"])"));
 }
 
 TEST_CASE("a resubmission joins the job or gets the kept answer")
@@ -121,7 +121,7 @@
     const auto sequence = f.submit(fixture::request(1));
     f.submit(sequence, fixture::request(2));
     REQUIRE(f.answers.back().status == 409);
-    REQUIRE(has(f.answers.back(), "body_conflict"));
+    REQUIRE(body_contains(f.answers.back(), "body_conflict"));
     REQUIRE(f.sender.sent.size() == 1);
 }
 
@@ -130,14 +130,14 @@
     fixture f;
     f.submit(999, fixture::request(1));
     REQUIRE(f.answers.back().status == 404);
-    REQUIRE(has(f.answers.back(), R"("verdict":"not_run")"));
+    REQUIRE(body_contains(f.answers.back(), R"("verdict":"not_run")"));
     const auto sequence = f.submit(fixture::request(1));
     f.end(0, verdict::ran);
-    f.pass(seconds{121});
+    f.advance_time(seconds{121});
     REQUIRE(f.jobs.jobs() == 0);
     f.submit(sequence, fixture::request(1));
     REQUIRE(f.answers.back().status == 410);
-    REQUIRE(has(f.answers.back(), R"("verdict":"may_have_run")"));
+    REQUIRE(body_contains(f.answers.back(), R"("verdict":"may_have_run")"));
     REQUIRE(f.sender.sent.size() == 1);
 }
 
@@ -147,11 +147,11 @@
     f.submit(fixture::request(4));
     f.end(0, verdict::may_have_run, reason::link_broken);
     REQUIRE(f.answers.size() == 1);
-    REQUIRE(has(f.answers[0], R"("state":"failed")"));
-    REQUIRE(has(f.answers[0], R"("verdict":"may_have_run")"));
+    REQUIRE(body_contains(f.answers[0], R"("state":"failed")"));
+    REQUIRE(body_contains(f.answers[0], R"("verdict":"may_have_run")"));
     // Late ends change nothing and start nothing.
     f.end(1, verdict::ran);
-    f.pass(seconds{20});
+    f.advance_time(seconds{20});
     REQUIRE(f.answers.size() == 1);
     REQUIRE(f.sender.sent.size() == 4);
 }
@@ -162,11 +162,11 @@
     f.submit(fixture::request(1, true));
     f.end(0, verdict::may_have_run, reason::link_broken);
     REQUIRE(f.answers.empty());
-    f.pass(seconds{1});
+    f.advance_time(seconds{1});
     REQUIRE(f.sender.sent.size() == 2);
     REQUIRE(f.sender.sent[1].first != f.sender.sent[0].first);
     f.end(1, verdict::ran);
-    REQUIRE(has(f.answers.at(0), "complete"));
+    REQUIRE(body_contains(f.answers.at(0), "complete"));
 }
 
 TEST_CASE("a task that was refused goes to another runner")
@@ -174,7 +174,7 @@
     fixture f;
     f.submit(fixture::request(1));
     f.end(0, verdict::not_run, reason::runner_refused);
-    f.pass(seconds{1});
+    f.advance_time(seconds{1});
     REQUIRE(f.sender.sent.size() == 2);
     REQUIRE(f.sender.sent[1].first != f.sender.sent[0].first);
 }
@@ -184,7 +184,7 @@
     fixture f({}, 1);
     f.submit(fixture::request(1));
     f.end(0, verdict::not_run, reason::runner_refused);
-    f.pass(seconds{1});
+    f.advance_time(seconds{1});
     REQUIRE(f.sender.sent.size() == 2);
 }
 
@@ -197,13 +197,13 @@
     for (std::size_t i = 0; i < 3; ++i)
     {
         f.end(i, verdict::not_run, reason::runner_refused);
-        f.pass(seconds{1});
+        f.advance_time(seconds{1});
     }
     // 2 retries were saved up, 0.1 was earned by the task itself.
     REQUIRE(f.sender.sent.size() == 3);
     REQUIRE(f.answers.size() == 1);
-    REQUIRE(has(f.answers[0], R"("verdict":"not_run")"));
-    REQUIRE(has(f.answers[0], "runner_refused"));
+    REQUIRE(body_contains(f.answers[0], R"("verdict":"not_run")"));
+    REQUIRE(body_contains(f.answers[0], "runner_refused"));
 }
 
 TEST_CASE("a job without any start by its deadline was not run")
@@ -211,11 +211,11 @@
     fixture f;
     f.submit(fixture::request(4));
     f.submit(fixture::request(1));
-    f.pass(seconds{10});
+    f.advance_time(seconds{10});
     REQUIRE(f.answers.size() == 2);
-    REQUIRE(has(f.answers[0], R"("verdict":"may_have_run")"));
-    REQUIRE(has(f.answers[1], R"("verdict":"not_run")"));
-    REQUIRE(has(f.answers[1], "deadline_passed"));
+    REQUIRE(body_contains(f.answers[0], R"("verdict":"may_have_run")"));
+    REQUIRE(body_contains(f.answers[1], R"("verdict":"not_run")"));
+    REQUIRE(body_contains(f.answers[1], "deadline_passed"));
     // The slot that becomes free later is not used for it.
     f.end(0, verdict::ran);
     REQUIRE(f.sender.sent.size() == 4);
@@ -243,10 +243,10 @@
     f.submit(fixture::request(6));
     f.end(0, verdict::not_run, reason::fenced);
     REQUIRE(f.jobs.fenced());
-    REQUIRE(has(f.answers.at(0), R"("state":"failed")"));
+    REQUIRE(body_contains(f.answers.at(0), R"("state":"failed")"));
     f.submit(fixture::request(1));
     REQUIRE(f.answers.back().status == 503);
-    f.pass(seconds{5});
+    f.advance_time(seconds{5});
     REQUIRE(f.sender.sent.size() == 4);
 }
 
@@ -257,10 +257,10 @@
     f.jobs.stop_accepting();
     f.submit(fixture::request(1));
     REQUIRE(f.answers.back().status == 503);
-    REQUIRE(has(f.answers.back(), R"("verdict":"not_run")"));
+    REQUIRE(body_contains(f.answers.back(), R"("verdict":"not_run")"));
     f.end(0, verdict::ran);
     f.submit(sequence, fixture::request(1));
-    REQUIRE(has(f.answers.back(), "complete"));
+    REQUIRE(body_contains(f.answers.back(), "complete"));
     REQUIRE(f.jobs.idle());
 }
 
@@ -270,7 +270,7 @@
     const auto sequence = f.submit(fixture::request(6));
     const auto cancelled = f.jobs.cancel(sequence);
     REQUIRE(cancelled.value() == 2);
-    REQUIRE(has(f.answers.at(0), "cancelled"));
+    REQUIRE(body_contains(f.answers.at(0), "cancelled"));
     f.end(0, verdict::ran);
     REQUIRE(f.sender.sent.size() == 4);
     REQUIRE_FALSE(f.jobs.cancel(sequence));
@@ -282,11 +282,11 @@
     fixture f;
     f.submit(fixture::request(2));
     f.end(0, verdict::ran);
-    f.pass(seconds{8});
+    f.advance_time(seconds{8});
     f.end(1, verdict::ran);
-    f.pass(seconds{19});
+    f.advance_time(seconds{19});
     REQUIRE(f.sender.acknowledged.size() <= 1);
-    f.pass(seconds{21});
+    f.advance_time(seconds{21});
     std::size_t keys = 0;
     for (const auto& [runner, known] : f.sender.acknowledged)
         keys += known.size();
@@ -309,9 +309,9 @@
         taken.push_back(sequence);
     }
     REQUIRE(f.answers.back().status == 503);
-    REQUIRE(has(f.answers.back(), "kept_answers_full"));
+    REQUIRE(body_contains(f.answers.back(), "kept_answers_full"));
     for (const auto sequence : taken)
-        REQUIRE(has(f.jobs.lookup(sequence), "complete"));
+        REQUIRE(body_contains(f.jobs.lookup(sequence), "complete"));
 }
 
 TEST_CASE("a quota of 0 refuses all work of the team")
@@ -320,7 +320,7 @@
     f.jobs.quota().set_quota("desk", 0);
     f.submit(fixture::request(1));
     REQUIRE(f.answers.back().status == 429);
-    REQUIRE(has(f.answers.back(), "team_quota"));
+    REQUIRE(body_contains(f.answers.back(), "team_quota"));
     REQUIRE(f.answers.back().retry_after >= seconds{1});
     REQUIRE(f.sender.sent.empty());
 }
@@ -330,7 +330,7 @@
     fixture f;
     const auto sequence = f.submit(fixture::request(1));
     f.end(0, verdict::not_run, reason::runner_refused);
-    f.pass(seconds{1});
+    f.advance_time(seconds{1});
     f.end(1, verdict::ran);
     std::vector<decision_kind> kinds;
     f.jobs.ring().for_each(
