--- a/src/glenhollow/entry/adopted_answers.hpp
+++ b/src/glenhollow/entry/adopted_answers.hpp
@@ -17,25 +17,25 @@
 namespace glenhollow
 {
 
-/// One task of a dead entry as an agent remembers it.
+/// The record that an agent keeps of a task of a fenced entry incarnation.
 struct fenced_record
 {
-    task_key key;                ///< Which task.
-    outcome_of_task end;         ///< may_have_run while it still runs.
-    std::string body;            ///< The result, JSON text, when it ran.
-    std::uint64_t body_hash = 0; ///< Of the job's body.
-    std::uint32_t job_tasks = 0; ///< Tasks of the job.
+    task_key key;
+    outcome_of_task end; ///< The verdict; may_have_run while it still runs.
+    std::string body;    ///< JSON text of the result, if the task ran.
+    std::uint64_t body_hash = 0; ///< Hash of the job's body.
+    std::uint32_t job_tasks = 0; ///< Number of tasks in the job.
 };
 
-/// Answers for the jobs of one entry incarnation that is no more: those it
-/// handed over, and those found whole at the agents. Everything else is failed
-/// as may_have_run; nothing is ever started. Pure state.
+/// Answers for the jobs of one entry incarnation that has ended: the answers
+/// that the entry handed over, and jobs whose results are all held by agents.
+/// All other jobs are failed as may_have_run; no task is started. Pure state.
 class adopted_answers final
 {
 public:
-    /// @param hall Of the incarnation's entry.
-    /// @param entry Its name.
-    /// @param incarnation The incarnation.
+    /// @param hall Hall of the entry.
+    /// @param entry Name of the entry.
+    /// @param incarnation Incarnation of the entry.
     adopted_answers(std::string hall, std::string entry,
                     std::uint64_t incarnation)
         : hall_(std::move(hall)), entry_(std::move(entry)),
@@ -43,33 +43,33 @@
     {
     }
 
-    /// @param answers That the entry handed over.
+    /// Adds answers that the entry handed over before it stopped.
     void add_kept_answers(const std::vector<coordinator::kept_answer>& answers);
 
-    /// @param records That an agent remembers.
+    /// Adds the records of one agent.
     void add(const std::vector<fenced_record>& records);
 
-    /// @param sequence A submission of the incarnation.
-    /// @param body_hash Of the body it was sent with again, if it was.
-    /// @return The answer: whole, failed, or a conflict of bodies.
+    /// @param sequence Sequence number of a submission of the incarnation.
+    /// @param body_hash Hash of the resubmitted body, if a body was sent.
+    /// @return The answer: complete, failed, or a conflict of bodies.
     job_answer answer(std::uint64_t sequence,
                       std::optional<std::uint64_t> body_hash) const;
 
-    /// @return Jobs that something is known of.
+    /// @return Number of jobs with a handed over answer or an agent's record.
     std::size_t jobs() const { return jobs_.size() + kept_.size(); }
 
-    /// @return How many of the jobs found at agents are whole.
+    /// @return Number of jobs whose results are all held by agents.
     std::size_t complete_jobs() const;
 
 private:
-    /// A job put together from what agents remember.
+    /// A job assembled from the records of agents.
     struct partial_job
     {
-        std::uint64_t body_hash = 0;                  ///< Of its body.
-        std::uint32_t tasks = 0;                      ///< All of them.
-        std::map<std::uint32_t, std::string> results; ///< By task.
+        std::uint64_t body_hash = 0; ///< Hash of the job's body.
+        std::uint32_t tasks = 0;     ///< Number of tasks in the job.
+        /// Results by task number.
+        std::map<std::uint32_t, std::string> results;
 
-        /// @return Whether the results of all tasks are there.
         bool is_complete() const
         {
             return tasks > 0 && results.size() == tasks;
@@ -78,12 +78,13 @@
 
     std::string id_text(std::uint64_t sequence) const;
 
-    std::string hall_;          ///< Of the entry.
-    std::string entry_;         ///< Its name.
-    std::uint64_t incarnation_; ///< Its start.
-    std::unordered_map<std::uint64_t, coordinator::kept_answer>
-        kept_; ///< Handed over, by sequence.
-    std::unordered_map<std::uint64_t, partial_job> jobs_; ///< By sequence.
+    std::string hall_;          ///< Hall of the entry that failed.
+    std::string entry_;         ///< Name of that entry.
+    std::uint64_t incarnation_; ///< Incarnation of that entry.
+    /// Answers handed over, by sequence.
+    std::unordered_map<std::uint64_t, coordinator::kept_answer> kept_;
+    /// Jobs known from agents, by sequence.
+    std::unordered_map<std::uint64_t, partial_job> jobs_;
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/agent_control.cpp
+++ b/src/glenhollow/entry/agent_control.cpp
@@ -32,18 +32,18 @@
 
 } // namespace
 
-/// One call with its connection.
+/// One call and its connection.
 struct agent_control::call
 {
     explicit call(boost::asio::io_context& io) : timer(io) {}
 
-    member agent;                               ///< Whom it goes to.
-    boost::asio::steady_timer timer;            ///< Its limit.
-    bool ended = false;                         ///< It has its answer.
-    kj::Maybe<kj::Own<rpc_connection>> rpc;     ///< Once connected.
-    kj::Maybe<kj::Own<background_tasks>> tasks; ///< Once connected.
+    member agent;                    ///< The agent that is called.
+    boost::asio::steady_timer timer; ///< Runs out after the call timeout.
+    bool ended = false;              ///< The call was answered or has failed.
+    kj::Maybe<kj::Own<rpc_connection>> rpc;     ///< Set once connected.
+    kj::Maybe<kj::Own<background_tasks>> tasks; ///< Set once connected.
 
-    /// Sends the request over a connection.
+    /// Sends the request over the connection.
     std::function<kj::Promise<void>(wire::Agent::Client)> send;
 };
 
@@ -74,7 +74,7 @@
         [this, new_call](boost::system::error_code ec)
         {
             if (!ec)
-                end(new_call);
+                finish(new_call);
         });
     connect_rpc(io_, new_call->agent.rpc,
                 [this, new_call](connect_result result)
@@ -82,28 +82,29 @@
                     if (new_call->ended)
                         return;
                     if (!result.socket)
-                        return end(new_call);
+                        return finish(new_call);
                     auto rpc = kj::heap<rpc_connection>(
                         std::move(*result.socket), bytes_);
                     auto agent = rpc->bootstrap().castAs<wire::Agent>();
                     auto tasks = kj::heap<background_tasks>();
                     tasks->add(new_call->send(kj::mv(agent))
-                                   .then([this, new_call] { end(new_call); },
+                                   .then([this, new_call] { finish(new_call); },
                                          [this, new_call](kj::Exception&&)
-                                         { end(new_call); }));
+                                         { finish(new_call); }));
                     new_call->rpc = kj::mv(rpc);
                     new_call->tasks = kj::mv(tasks);
                 });
 }
 
-void agent_control::end(const std::shared_ptr<call>& done)
+void agent_control::finish(const std::shared_ptr<call>& done)
 {
     if (std::exchange(done->ended, true))
         return;
     done->timer.cancel();
     std::erase(active_, done);
-    // The connection goes in the loop's next turn, not inside its own call;
-    // with it goes the handler, which then tells its fallback.
+    // The connection is closed in the next turn of the loop, since this may run
+    // inside one of its own calls. Destroying the handler reports its fallback
+    // value.
     boost::asio::post(io_,
                       [done]
                       {
--- a/src/glenhollow/entry/agent_links.cpp
+++ b/src/glenhollow/entry/agent_links.cpp
@@ -23,10 +23,10 @@
 
 constexpr std::string_view unknown_name = "?";
 
-/// Weight of a new sample in a link's smoothed delay.
+/// Divisor of the exponential smoothing of a link's round-trip time.
 constexpr int delay_smoothing_divisor = 8;
 
-/// Puts all waiting acknowledgements into a message.
+/// Moves all pending acknowledgements into a message.
 template <class Request>
 void write_acknowledgements(Request& request,
                             std::vector<task_key>& pending_acks)
@@ -55,16 +55,15 @@
 
 } // namespace
 
-/// A load as it came over a link.
+/// A load report as received over a link.
 struct agent_links::agent_load
 {
-    load_report report;               ///< But for what only the link knows.
-    std::int64_t clock = 0;           ///< Of the agent, ns.
-    std::uint64_t received = 0;       ///< Starts over this connection.
-    std::uint64_t config_version = 0; ///< In force at the agent.
+    load_report report;     ///< All fields but those that the link computes.
+    std::int64_t clock = 0; ///< Clock of the agent, ns.
+    std::uint64_t received = 0;       ///< Starts received over this connection.
+    std::uint64_t config_version = 0; ///< Version in force at the agent.
 
-    /// @param load As it came.
-    /// @return The same in our types.
+    /// @return The load report of a wire message.
     static agent_load from(wire::Load::Reader load)
     {
         agent_load converted;
@@ -81,18 +80,18 @@
     }
 };
 
-/// One link with the starts that have no end yet.
+/// One link and its starts that have not ended.
 struct agent_links::link
 {
     /// A start that was sent.
     struct sent_start
     {
-        outgoing_start start; ///< What was sent, to repeat it.
-        instant begin_by{};   ///< On the agent's clock.
-        instant sent{};       ///< On ours.
+        outgoing_start start; ///< Kept to resend it.
+        instant begin_by{};   ///< Latest begin on the agent's clock.
+        instant sent{};       ///< Time of sending on the entry's clock.
     };
 
-    /// Everything that dies with the connection.
+    /// State that lasts as long as one connection.
     struct connection
     {
         connection(tcp::socket socket, stream_stats& bytes)
@@ -101,41 +100,43 @@
         {
         }
 
-        rpc_connection rpc;                            ///< The RPC system.
-        wire::Agent::Client agent;                     ///< Its bootstrap.
-        kj::Maybe<wire::AgentSession::Client> session; ///< After hello.
-        background_tasks calls;                        ///< In flight.
+        rpc_connection rpc;        ///< The RPC system.
+        wire::Agent::Client agent; ///< Its bootstrap interface.
+        /// Set once hello is answered.
+        kj::Maybe<wire::AgentSession::Client> session;
+        background_tasks calls; ///< Calls in flight.
     };
 
-    runner_index index = 0;        ///< Its place.
-    member agent;                  ///< Whom it links to.
-    bool listed = true;            ///< Still on the list.
-    instant unlisted_since{};      ///< When it left the list.
-    std::uint64_t generation = 0;  ///< Of the connection.
-    kj::Own<connection> current;   ///< Null while there is none.
-    bool connecting = false;       ///< A connection is being made.
-    bool up = false;               ///< Hello was answered.
-    std::uint64_t incarnation = 0; ///< Of the agent, 0 before hello.
-    std::int64_t agent_clock = 0;  ///< Its last reading, ns.
-    instant agent_clock_at{};      ///< When that came.
-    std::unordered_map<task_key, sent_start, task_key_hash>
-        outstanding;                    ///< Starts without an end.
-    std::vector<task_key> pending_acks; ///< For the next message.
+    runner_index index = 0;       ///< Index of the runner.
+    member agent;                 ///< The VM of the agent.
+    bool listed = true;           ///< The agent is in the set of agents.
+    instant unlisted_since{};     ///< Time of its removal from the set.
+    std::uint64_t generation = 0; ///< Identifies the current connection.
+    kj::Own<connection> current;  ///< Null while disconnected.
+    bool connecting = false;      ///< A connection attempt is in progress.
+    bool up = false;              ///< Hello was answered.
+    /// Incarnation of the agent; 0 before hello.
+    std::uint64_t incarnation = 0;
+    std::int64_t agent_clock = 0; ///< Last reading of the agent's clock, ns.
+    instant agent_clock_at{};     ///< Arrival time of that reading.
+    /// Starts without an end.
+    std::unordered_map<task_key, sent_start, task_key_hash> outstanding;
+    std::vector<task_key> pending_acks; ///< Sent with the next message.
     std::uint64_t sent = 0;             ///< Starts sent over the connection.
-    duration delay{};                   ///< Smoothed time there and back.
-    instant last_received{};            ///< When the last message came.
-    instant last_sent{};                ///< When the last message left.
-    instant ping_sent{};                ///< Of the ping in flight, or 0.
-    instant broken_since{};             ///< Of the break, or 0.
-    instant retry_at{};                 ///< When to connect again.
-    duration backoff{};                 ///< Before the next attempt.
-    bool configuring = false;           ///< A configuration is on its way.
-    std::uint64_t config_version = 0;   ///< In force at the agent.
-    std::uint64_t started = 0;          ///< Starts sent ever.
-    std::uint64_t refused = 0;          ///< Of them, answered not_run.
-
-    /// @return A time on the agent's clock that is not after `within` from
-    /// now, because its reading is older than its arrival here.
+    duration delay{};                   ///< Smoothed round-trip time.
+    instant last_received{};            ///< Time of the last receipt.
+    instant last_sent{};                ///< Time of the last send.
+    instant ping_sent{};              ///< Send time of the pending ping, or 0.
+    instant broken_since{};           ///< Time of the break, or 0.
+    instant retry_at{};               ///< Time of the next reconnect.
+    duration backoff{};               ///< Delay of the next reconnect.
+    bool configuring = false;         ///< A configuration push is in flight.
+    std::uint64_t config_version = 0; ///< Version in force at the agent.
+    std::uint64_t started = 0;        ///< Total starts sent.
+    std::uint64_t refused = 0;        ///< Total starts answered not_run.
+
+    /// @return A time on the agent's clock, at or before `within` from now: the
+    /// reading of that clock was taken before it arrived here.
     instant on_agent_clock(instant now, duration within) const
     {
         return instant{agent_clock} + (now - agent_clock_at) + within;
@@ -182,7 +183,7 @@
         const bool same_address =
             found != listed.end() &&
             found->second->rpc.to_string() == old.agent.rpc.to_string();
-        // A link with tasks out there stays until they have ended.
+        // A link to a removed agent stays until its tasks have ended.
         if (same_address || (found == listed.end() && !old.outstanding.empty()))
         {
             old.listed = found != listed.end();
@@ -232,7 +233,7 @@
     to.current = kj::heap<link::connection>(std::move(socket), bytes_);
     to.last_received = to.last_sent = clock_.now();
     to.ping_sent = to.last_sent;
-    // An idle link has no call whose failure would tell.
+    // An idle link has no pending call that would fail on a disconnect.
     to.current->calls.add(to.current->rpc.on_disconnect().then(
         [this, index = to.index, generation = to.generation]
         { on_link_broken(*links_[index], generation); }));
@@ -265,7 +266,7 @@
             from.current->session = reply.getSession();
             const bool restarted = from.incarnation != 0 &&
                                    from.incarnation != reply.getIncarnation();
-            // Another incarnation knows nothing of what was sent before.
+            // A new agent incarnation has no record of earlier starts.
             if (restarted)
                 fail_outstanding(from, reason::agent_restarted);
             from.incarnation = reply.getIncarnation();
@@ -291,49 +292,50 @@
         { on_link_broken(*links_[index], generation); }));
 }
 
-void agent_links::on_link_broken(link& at, std::uint64_t generation)
+void agent_links::on_link_broken(link& target, std::uint64_t generation)
 {
-    if (at.generation != generation)
+    if (target.generation != generation)
         return;
-    const bool was_up = at.up;
-    at.up = at.connecting = at.configuring = false;
-    at.generation = ++last_generation_;
-    at.ping_sent = {};
-    // Calls in flight are dropped by the loop's next turn, not by themselves.
-    if (at.current)
+    const bool was_up = target.up;
+    target.up = target.connecting = target.configuring = false;
+    target.generation = ++last_generation_;
+    target.ping_sent = {};
+    // The connection is destroyed in the next turn of the loop, since this may
+    // run inside one of its calls.
+    if (target.current)
     {
         auto old =
-            std::make_shared<kj::Own<link::connection>>(kj::mv(at.current));
+            std::make_shared<kj::Own<link::connection>>(kj::mv(target.current));
         boost::asio::post(io_, [old] { *old = nullptr; });
     }
     const instant now = clock_.now();
-    if (at.broken_since == instant{})
-        at.broken_since = now;
-    at.retry_at = now + at.backoff;
-    at.backoff = std::min(at.backoff * 2, settings_.max_backoff);
+    if (target.broken_since == instant{})
+        target.broken_since = now;
+    target.retry_at = now + target.backoff;
+    target.backoff = std::min(target.backoff * 2, settings_.max_backoff);
     if (!was_up)
         return;
     ++stats_.breaks;
     log_change(log_level::warning, "link_broken",
-               {{"runner", at.agent.name},
+               {{"runner", target.agent.name},
                 {"shard", settings_.shard},
-                {"outstanding_starts", at.outstanding.size()}});
-    owner_->link_down(at.index);
+                {"outstanding_starts", target.outstanding.size()}});
+    owner_->link_down(target.index);
     on_events_();
 }
 
-void agent_links::fail_outstanding(link& at, reason why)
+void agent_links::fail_outstanding(link& target, reason why)
 {
-    auto lost_starts = std::exchange(at.outstanding, {});
+    auto lost_starts = std::exchange(target.outstanding, {});
     for (auto& [key, sent] : lost_starts)
     {
         task_end end;
         end.key = key;
         end.end = {verdict::may_have_run, why};
-        owner_->task_ended(at.index, std::move(end));
+        owner_->task_ended(target.index, std::move(end));
     }
-    // Results of an incarnation that is gone need no acknowledgement.
-    at.pending_acks.clear();
+    // An ended agent incarnation needs no acknowledgements.
+    target.pending_acks.clear();
     if (!lost_starts.empty())
         on_events_();
 }
@@ -360,7 +362,8 @@
     for (const auto& start : starts)
         to.outstanding[start.key] = {
             start, to.on_agent_clock(now, start.begin_within), now};
-    // Only tasks of one job share a call: its answer waits for all of them.
+    // A message has tasks of one job only, because its reply is sent when all
+    // of them have ended.
     std::vector<outgoing_start> group;
     for (auto& start : starts)
     {
@@ -376,7 +379,7 @@
 
 void agent_links::send_starts(link& to, std::vector<outgoing_start> starts)
 {
-    // A link that broke in this very turn repeats its starts when it is back.
+    // Starts of a link that has just broken are resent once it reconnects.
     if (!to.up)
         return;
     auto request = KJ_ASSERT_NONNULL(to.current->session).startRequest();
@@ -431,7 +434,8 @@
     for (auto& end : ends)
     {
         const auto sent = from.outstanding.find(end.key);
-        // An answer to a call before the break came with the repeat already.
+        // A start that was resent may be answered twice; only the first answer
+        // counts.
         if (sent == from.outstanding.end())
             continue;
         if (end.end.what == verdict::not_run)
@@ -497,33 +501,34 @@
     const instant now = clock_.now();
     for (const auto& known : links_)
     {
-        auto& at = *known;
-        const bool awaiting_reply = at.ping_sent != instant{};
-        if (awaiting_reply && (at.up || at.current) &&
-            now - at.ping_sent > settings_.reply_timeout)
+        auto& target = *known;
+        const bool awaiting_reply = target.ping_sent != instant{};
+        if (awaiting_reply && (target.up || target.current) &&
+            now - target.ping_sent > settings_.reply_timeout)
         {
-            // Neither hello nor ping was answered: the agent hangs or is cut
-            // off.
-            on_link_broken(at, at.generation);
+            // Hello or ping timed out: the agent hangs or is unreachable.
+            on_link_broken(target, target.generation);
             continue;
         }
-        if (at.up && !awaiting_reply)
+        if (target.up && !awaiting_reply)
         {
             const bool silent =
-                !at.outstanding.empty() &&
-                now - at.last_received > settings_.probe_after &&
-                now - at.last_sent > settings_.probe_after;
-            const bool idle = now - at.last_received > settings_.heartbeat &&
-                              now - at.last_sent > settings_.heartbeat;
+                !target.outstanding.empty() &&
+                now - target.last_received > settings_.probe_after &&
+                now - target.last_sent > settings_.probe_after;
+            const bool idle =
+                now - target.last_received > settings_.heartbeat &&
+                now - target.last_sent > settings_.heartbeat;
             if (silent || idle)
-                ping(at);
+                ping(target);
         }
-        if (!at.up && !at.outstanding.empty() && at.broken_since != instant{} &&
-            now - at.broken_since > settings_.resend_window)
-            fail_outstanding(at, reason::link_broken);
-        if (!at.up && !at.connecting && !at.current && at.listed &&
-            now >= at.retry_at)
-            connect(at);
+        if (!target.up && !target.outstanding.empty() &&
+            target.broken_since != instant{} &&
+            now - target.broken_since > settings_.resend_window)
+            fail_outstanding(target, reason::link_broken);
+        if (!target.up && !target.connecting && !target.current &&
+            target.listed && now >= target.retry_at)
+            connect(target);
     }
 }
 
@@ -539,7 +544,7 @@
 
 void agent_links::push_configuration(link& to)
 {
-    // One shard of the entry is enough, and one message at a time.
+    // Only the first shard pushes, with one push in flight per link.
     if (to.configuring || settings_.shard != 0 || !to.current)
         return;
     to.configuring = true;
@@ -642,7 +647,7 @@
 
 void agent_links::collect(metric_page& page) const
 {
-    constexpr std::string_view help = "Messages over links by kind";
+    constexpr std::string_view help = "Messages over agent links by kind";
     const auto add = [&](std::uint64_t value, std::string_view labels)
     {
         page.counter("link_messages_total", help, static_cast<double>(value),
@@ -657,15 +662,14 @@
     add(stats_.configurations, R"(kind="configuration",useful="0")");
     page.counter("link_breaks_total", "Links that broke",
                  static_cast<double>(stats_.breaks));
-    page.counter("link_bytes_total", "Bytes over links",
+    page.counter("link_bytes_total", "Bytes over agent links by direction",
                  static_cast<double>(bytes_.bytes_in), R"(direction="in")");
-    page.counter("link_bytes_total", "Bytes over links",
+    page.counter("link_bytes_total", "Bytes over agent links by direction",
                  static_cast<double>(bytes_.bytes_out), R"(direction="out")");
     std::size_t up = 0;
     for (const auto& known : links_)
         up += known->up ? 1 : 0;
-    page.gauge("links_up", "Links to agents that are up",
-               static_cast<double>(up));
+    page.gauge("links_up", "Agent links that are up", static_cast<double>(up));
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/coordinator.cpp
+++ b/src/glenhollow/entry/coordinator.cpp
@@ -16,22 +16,22 @@
 constexpr unsigned status_too_many = 429;
 constexpr unsigned status_unavailable = 503;
 
-/// Weight of a new length in a team's mean task length.
+/// Smoothing factor of a team's mean task length.
 constexpr double length_weight = 0.05;
 
-/// Length of a task of which nothing is known, s.
+/// Assumed task length of a team without finished tasks, s.
 constexpr double default_task_seconds = 0.3;
 
-/// How often waiting tasks are looked at without news.
+/// Interval of placement attempts while tasks wait.
 constexpr duration dispatch_interval = milliseconds{5};
 
-/// How often old answers are looked for.
+/// Interval of checks for expired answers.
 constexpr duration expiry_interval = seconds{1};
 
-/// Teams whose lengths are remembered at most; names come from callers.
+/// Limits memory, since callers choose the names of teams.
 constexpr std::size_t max_team_lengths = 4096;
 
-/// Bytes of a kept job besides its answer.
+/// Estimated size of a kept job without its answer, bytes.
 constexpr std::size_t kept_overhead = 256;
 
 double to_seconds(duration length)
@@ -51,48 +51,47 @@
 /// One task of a job in flight.
 struct coordinator::task
 {
-    /// Where a task stands.
     enum class stage : std::uint8_t
     {
-        waiting,   ///< In the queue.
-        delayed,   ///< Waits out a backoff.
-        in_flight, ///< Sent.
+        waiting,   ///< Queued here.
+        delayed,   ///< Waiting for its backoff to end.
+        in_flight, ///< Sent to an agent.
         done       ///< Ended.
     };
 
-    stage at = stage::waiting;       ///< Where it stands.
-    bool may_have_run = false;       ///< An attempt may have run.
-    std::uint8_t attempts = 0;       ///< Sent so often.
-    std::vector<runner_index> avoid; ///< Refused it before.
+    stage current_stage = stage::waiting;
+    bool may_have_run = false;       ///< Any attempt may have run.
+    std::uint8_t attempts = 0;       ///< Number of sends.
+    std::vector<runner_index> avoid; ///< Runners that refused the task.
     std::string payload;             ///< JSON text.
     instant sent{};                  ///< Time of the last send.
-    std::int64_t sent_wall = 0;      ///< The same for spans.
+    std::int64_t sent_wall = 0;      ///< Wall clock of the last send, ns.
     trace_context link;              ///< Span of the link hop.
 };
 
-/// A job, in flight or ended.
+/// An open or ended job.
 struct coordinator::job
 {
-    std::uint64_t sequence = 0;  ///< Names it.
-    std::uint64_t body_hash = 0; ///< Of its body.
-    bool ended = false;          ///< It has its answer.
-    job_answer answer;           ///< Valid when ended.
-
-    std::string team;                    ///< Whose it is.
-    instant admitted_at{};               ///< When it was taken.
-    instant deadline{};                  ///< When it fails.
-    bool repeatable = false;             ///< Its task may run twice.
-    bool long_tasks = false;             ///< In the queue of long ones.
-    double expected = 0;                 ///< Of one task, s.
-    std::vector<task> tasks;             ///< Empty once it has ended.
-    std::vector<std::string> results;    ///< Empty once it has ended.
+    std::uint64_t sequence = 0;  ///< Sequence number of the submission.
+    std::uint64_t body_hash = 0; ///< Hash of the job's body.
+    bool ended = false;          ///< The job has an answer.
+    job_answer answer;           ///< Valid once ended.
+
+    std::string team;                    ///< Team of the job.
+    instant admitted_at{};               ///< Time of admission.
+    instant deadline{};                  ///< Time when the job fails.
+    bool repeatable = false;             ///< The only task may be rerun.
+    bool long_tasks = false;             ///< The job is in the long queue.
+    double expected = 0;                 ///< Expected length of a task, s.
+    std::vector<task> tasks;             ///< Empty once ended.
+    std::vector<std::string> results;    ///< Empty once ended.
     std::vector<std::uint32_t> waiting;  ///< Task numbers, next at the back.
     std::size_t remaining = 0;           ///< Tasks that have not ended.
-    std::size_t task_count = 0;          ///< All tasks.
-    std::vector<answer_handler> callers; ///< Wait for the answer.
-    std::optional<trace_context> trace;  ///< The caller hop.
-    std::string trace_parent;            ///< Span id above the caller hop.
-    std::int64_t admitted_wall = 0;      ///< For spans.
+    std::size_t task_count = 0;          ///< Number of tasks.
+    std::vector<answer_handler> callers; ///< Callers that wait for the answer.
+    std::optional<trace_context> trace;  ///< Span of the caller hop.
+    std::string trace_parent;            ///< Parent span id of the caller hop.
+    std::int64_t admitted_wall = 0;      ///< Wall clock of admission, ns.
 
     /// @return Whether any attempt of any task may have run.
     bool any_may_have_run() const
@@ -100,7 +99,8 @@
         return std::any_of(tasks.begin(), tasks.end(),
                            [](const task& one) {
                                return one.may_have_run ||
-                                      one.at == task::stage::in_flight;
+                                      one.current_stage ==
+                                          task::stage::in_flight;
                            });
     }
 };
@@ -240,8 +240,8 @@
         if (!view.usable())
             continue;
         ++state.usable_runners;
-        // Slots that others fill are not ours to count on, but for our part
-        // of them.
+        // A shard counts on the slots that other entries leave free, and at
+        // least on its equal share.
         const double slots = view.effective_slots();
         state.available_slots +=
             std::max(slots - view.peer_tasks, slots / linked_shards_[i]);
@@ -268,8 +268,8 @@
                             answer_handler done)
 {
     const instant now = clock_.now();
-    auto fresh = std::make_unique<job>();
-    auto& current_job = *fresh;
+    auto new_job = std::make_unique<job>();
+    auto& current_job = *new_job;
     current_job.sequence = sequence;
     current_job.body_hash = request.body_hash;
     current_job.team = std::move(request.team);
@@ -305,7 +305,7 @@
         static_cast<std::uint32_t>(current_job.remaining), 0, reason::none,
         verdict::not_run);
     queue_of(current_job).push(queue_entry(current_job, current_job.remaining));
-    jobs_.emplace(sequence, std::move(fresh));
+    jobs_.emplace(sequence, std::move(new_job));
 }
 
 queued_job coordinator::queue_entry(const job& current_job,
@@ -337,7 +337,7 @@
             continue;
         if (!blocked_long)
             break;
-        // Long tasks have to leave slots free; short ones may go on.
+        // Long tasks must leave reserved slots free; short tasks may use them.
         only_short = true;
     }
     send_outbox();
@@ -351,8 +351,7 @@
     auto* first_long = only_short ? nullptr : of(long_queue_.front());
     if (!first_short || !first_long)
         return first_short ? first_short : first_long;
-    // Between the two kinds the one that came first goes first, so neither
-    // starves.
+    // The older job goes first, so neither queue starves.
     return first_long->admitted_at < first_short->admitted_at ? first_long
                                                               : first_short;
 }
@@ -383,7 +382,7 @@
     auto& next = current_job.tasks[number];
     current_job.waiting.pop_back();
     queue_of(current_job).take_task(current_job.sequence);
-    next.at = task::stage::in_flight;
+    next.current_stage = task::stage::in_flight;
     next.sent = now;
     ++next.attempts;
     ++stats_.sent;
@@ -400,8 +399,7 @@
     start.body_hash = current_job.body_hash;
     start.job_tasks = static_cast<std::uint32_t>(current_job.task_count);
     start.rank = rank_of(current_job, now);
-    // The payload is needed again only if the task can be sent again; a copy
-    // is the price of a retry.
+    // The payload is copied because a retry needs it again.
     start.payload = next.payload;
     if (current_job.trace)
     {
@@ -418,7 +416,7 @@
 
 double coordinator::rank_of(const job& current_job, instant now) const
 {
-    // The order among the tasks that wait at an agent is that of the queue.
+    // Tasks that wait at an agent are ordered like the queue.
     switch (settings_.queue.order)
     {
     case queue_order_kind::first_come:
@@ -485,7 +483,7 @@
     auto& view = views_[runner];
     view.slots = report.slots;
     linked_shards_[runner] = std::max(report.links, 1);
-    // Of our tasks the agent has counted those that had reached it.
+    // The agent counts only the starts that it has received.
     occupancy_.report(runner, report.busy, view.outstanding - report.in_transit,
                       clock_.now());
     view.draining = report.draining || drained_[runner];
@@ -539,15 +537,15 @@
         end.end.what);
 }
 
-void coordinator::note_length(job& current_job, const task_end& end)
+void coordinator::record_length(job& current_job, const task_end& end)
 {
     const double length = end.run_micros * 1e-6;
     if (mean_task_seconds_.size() >= max_team_lengths &&
         !mean_task_seconds_.contains(current_job.team))
         mean_task_seconds_.clear();
-    auto [known, fresh] =
+    auto [known, inserted] =
         mean_task_seconds_.try_emplace(current_job.team, length);
-    if (!fresh)
+    if (!inserted)
         known->second += length_weight * (length - known->second);
 }
 
@@ -555,7 +553,7 @@
                                   task_end end)
 {
     auto& done = current_job.tasks[end.key.task];
-    assert(done.at == task::stage::in_flight);
+    assert(done.current_stage == task::stage::in_flight);
     const instant now = clock_.now();
     const duration took = now - done.sent;
     log(decision_kind::ended, current_job.sequence, end.key.task, runner + 1,
@@ -569,9 +567,9 @@
     const auto agent_time =
         microseconds{end.wait_micros} + microseconds{end.run_micros};
     link_seconds_.add(to_seconds(std::max<duration>(took - agent_time, {})));
-    note_length(current_job, end);
+    record_length(current_job, end);
     occupancy_.note_length(end.run_micros * 1e-6);
-    done.at = task::stage::done;
+    done.current_stage = task::stage::done;
     done.may_have_run = true;
     current_job.results[end.key.task] = std::move(end.body);
     if (--current_job.remaining == 0)
@@ -582,12 +580,12 @@
                                 const task_end& end)
 {
     auto& failed_task = current_job.tasks[end.key.task];
-    failed_task.at = task::stage::waiting;
+    failed_task.current_stage = task::stage::waiting;
     if (end.end.what == verdict::may_have_run)
     {
         failed_task.may_have_run = true;
-        // The one rule: what may have run is never started again, unless its
-        // caller marked it repeatable.
+        // A task that may have run is never restarted, unless the job is marked
+        // repeatable.
         if (!current_job.repeatable)
             return fail_job(current_job, end.end.why);
     }
@@ -599,7 +597,7 @@
                                          : end.end.why);
     ++stats_.retried;
     failed_task.avoid.push_back(runner);
-    failed_task.at = task::stage::delayed;
+    failed_task.current_stage = task::stage::delayed;
     const auto wait = retries_.backoff(failed_task.attempts, random_);
     log(decision_kind::retried, current_job.sequence, end.key.task, runner + 1,
         end.end.why, end.end.what, wait);
@@ -663,8 +661,8 @@
     {
         const auto& first = pending_acks_.front();
         const auto known = jobs_.find(first.key.sequence);
-        // Results of a job in flight stay with the agents: they are what an
-        // adopter would answer it with.
+        // Agents keep the results of open jobs, so that an adopting entry can
+        // answer.
         if (known != jobs_.end() && !known->second->ended)
             pending_acks_.push_back(
                 {now + settings_.ack_delay, first.runner, first.key});
@@ -703,7 +701,7 @@
         if (known == jobs_.end() || known->second->ended)
             continue;
         auto& current_job = *known->second;
-        current_job.tasks[key.task].at = task::stage::waiting;
+        current_job.tasks[key.task].current_stage = task::stage::waiting;
         current_job.waiting.push_back(key.task);
         queue_of(current_job).requeue_task(queue_entry(current_job, 1));
     }
@@ -732,7 +730,7 @@
         consider(delayed_.begin()->due);
     if (!pending_acks_.empty())
         consider(pending_acks_.front().due);
-    // What waits for a slot is looked at again as the estimates move on.
+    // Estimates of runner load change with time, so waiting tasks are retried.
     if (queued_tasks() > 0)
         consider(clock_.now() + dispatch_interval);
     if (!jobs_.empty())
@@ -769,9 +767,10 @@
     auto& current_job = *known->second;
     const auto unstarted = static_cast<std::size_t>(
         std::count_if(current_job.tasks.begin(), current_job.tasks.end(),
-                      [](const task& one) {
-                          return one.at == task::stage::waiting ||
-                                 one.at == task::stage::delayed;
+                      [](const task& one)
+                      {
+                          return one.current_stage == task::stage::waiting ||
+                                 one.current_stage == task::stage::delayed;
                       }));
     if (unstarted == 0)
         return api_problem{status_conflict, reason::duplicate,
@@ -788,7 +787,8 @@
     if (fenced_)
         return;
     fenced_ = true;
-    // Whoever adopted us has failed these jobs; nothing more may start.
+    // The adopting entry has answered these jobs as failed, so none of their
+    // tasks may start.
     std::vector<std::uint64_t> open;
     for (const auto& [sequence, current_job] : jobs_)
     {
@@ -873,7 +873,7 @@
 {
     const auto count = [](std::uint64_t value)
     { return static_cast<double>(value); };
-    constexpr std::string_view jobs_help = "Jobs by what became of them";
+    constexpr std::string_view jobs_help = "Jobs by event";
     page.counter("jobs_total", jobs_help, count(stats_.admitted),
                  R"(event="admitted")");
     page.counter("jobs_total", jobs_help, count(stats_.completed),
@@ -884,16 +884,16 @@
                  R"(event="refused")");
     page.counter("jobs_total", jobs_help, count(stats_.joined),
                  R"(event="joined")");
-    page.counter("tasks_admitted_total", "Tasks of jobs taken",
+    page.counter("tasks_admitted_total", "Tasks of admitted jobs",
                  count(stats_.tasks_admitted));
     page.counter("starts_sent_total", "Starts sent to agents",
                  count(stats_.sent));
-    page.counter("retries_total", "Starts that were not a task's first",
+    page.counter("retries_total", "Starts that were retries",
                  count(stats_.retried));
-    page.counter("late_ends_total", "Ends nobody waited for any more",
+    page.counter("late_ends_total", "Ends of tasks whose job had already ended",
                  count(stats_.late_ends));
     page.counter("decisions_total", "Decisions made", count(ring_.total()));
-    page.gauge("queued_tasks", "Tasks that wait at the entry",
+    page.gauge("queued_tasks", "Tasks queued at the entry",
                static_cast<double>(queued_tasks()));
     page.gauge("jobs_kept", "Jobs in flight or with a kept answer",
                static_cast<double>(jobs_.size()));
@@ -903,14 +903,16 @@
     double slots = 0;
     for (const auto& view : views_)
         slots += view.connected ? view.slots : 0;
-    // Each shard sees the same runners.
-    page.gauge("runner_slots", "Slots of the runners this entry links to",
+    // All shards link to the same runners, so each reports its fraction.
+    page.gauge("runner_slots", "Slots of the runners linked to this entry",
                slots / settings_.shards);
-    page.summary("job_seconds", "From admission to a whole answer",
+    page.summary("job_seconds", "Seconds from admission to a complete answer",
                  job_seconds_);
-    page.summary("queue_seconds", "From admission to the send of a task",
+    page.summary("queue_seconds",
+                 "Seconds from admission to the send of a task",
                  queue_seconds_);
-    page.summary("link_seconds", "Time between entry and runner, per task",
+    page.summary("link_seconds",
+                 "Round-trip seconds between entry and agent, per task",
                  link_seconds_);
 }
 
--- a/src/glenhollow/entry/coordinator.hpp
+++ b/src/glenhollow/entry/coordinator.hpp
@@ -33,269 +33,281 @@
 namespace glenhollow
 {
 
-/// A task on its way to an agent.
+/// A task start to be sent to an agent.
 struct outgoing_start
 {
-    task_key key;                ///< Which task.
-    duration begin_within{};     ///< From now; later the agent refuses it.
-    std::string team;            ///< Whose it is.
-    std::string traceparent;     ///< W3C trace context, may be empty.
+    task_key key;
+    duration begin_within{};     ///< Time from now; a later start is refused.
+    std::string team;            ///< Team of the job.
+    std::string traceparent;     ///< W3C trace context; may be empty.
     std::string payload;         ///< JSON text.
-    std::uint64_t body_hash = 0; ///< Of the job's body.
-    std::uint32_t job_tasks = 0; ///< Tasks of the job.
-    double rank = 0;             ///< Work left in the job, s.
+    std::uint64_t body_hash = 0; ///< Hash of the job's body.
+    std::uint32_t job_tasks = 0; ///< Number of tasks in the job.
+    double rank = 0;             ///< Order of waiting tasks; lowest first.
 };
 
-/// Sends starts to agents; the links do, and fakes in tests.
+/// Sends starts to agents. Implemented by agent_links and by fakes in tests.
 class start_sender
 {
 public:
     virtual ~start_sender() = default;
 
-    /// Sends starts over a link that is up. Each ends in one call of
-    /// coordinator::task_ended, not from inside this call.
-    /// @param runner Where they go.
+    /// Sends starts over a link that is up. Each start leads to one call of
+    /// coordinator::task_ended, made after this call has returned.
+    /// @param runner The target runner.
     /// @param starts One or more tasks.
     virtual void send(runner_index runner,
                       std::vector<outgoing_start> starts) = 0;
 
-    /// Results that the agent may forget; sent with the next message.
-    /// @param runner Where they ran.
+    /// Queues acknowledgements of results that the agent may forget; they are
+    /// sent with the next message.
+    /// @param runner The runner that ran the tasks.
     /// @param keys The tasks.
     virtual void acknowledge(runner_index runner,
                              const std::vector<task_key>& keys) = 0;
 };
 
-/// What an agent reports of itself on every answer.
+/// The load that an agent reports with every answer.
 struct load_report
 {
-    std::int32_t slots = 0;      ///< Tasks it can run at once.
-    std::int32_t busy = 0;       ///< Running and queued there.
-    std::int32_t in_transit = 0; ///< Starts sent that it had not seen yet.
-    std::int32_t links = 1;      ///< Entry shards that are linked to it.
-    bool draining = false;       ///< It refuses new starts.
-    bool shunned = false;        ///< Its runner takes no connections.
-    duration delay{};            ///< Measured time there and back.
+    std::int32_t slots = 0; ///< Tasks that the agent can run at once.
+    std::int32_t busy = 0;  ///< Tasks running or queued at the agent.
+    /// Starts sent that the agent had not received.
+    std::int32_t in_transit = 0;
+    std::int32_t links = 1; ///< Entry shards linked to the agent.
+    bool draining = false;  ///< The agent refuses new starts.
+    bool shunned = false;   ///< The runner refuses connections.
+    duration delay{};       ///< Measured round-trip time.
 };
 
-/// The end of a task as its link reports it.
+/// The end of a task as reported by its link.
 struct task_end
 {
-    task_key key;                  ///< Which task.
-    outcome_of_task end;           ///< Whether it ran, and why not.
-    std::string body;              ///< The result, JSON text, when it ran.
-    std::uint32_t wait_micros = 0; ///< Time in the agent's queue.
-    std::uint32_t run_micros = 0;  ///< Time at the runner.
+    task_key key;
+    outcome_of_task end; ///< Verdict and reason.
+    std::string body;    ///< JSON text of the result, if the task ran.
+    std::uint32_t wait_micros = 0; ///< Time in the agent's queue, us.
+    std::uint32_t run_micros = 0;  ///< Time at the runner, us.
 };
 
-/// Settings of a coordinator; all can change while it runs, but for the
-/// shard's place.
+/// Settings of a coordinator. All can change while it runs, except hall, entry,
+/// shard and shards.
 struct coordinator_settings
 {
-    std::string hall = "hall";           ///< Of the entry.
+    std::string hall = "hall";           ///< Hall of the entry.
     std::string entry = "entry";         ///< Name of the entry.
-    std::uint32_t shard = 0;             ///< This shard, from 0.
-    std::uint32_t shards = 1;            ///< All shards of the entry.
-    duration id_lifetime = seconds{120}; ///< Of a submission id.
-    duration ack_delay = seconds{20};    ///< Results stay at agents so long.
-    duration start_window = seconds{10}; ///< A start must begin within.
-    double long_task_seconds = 1.0;      ///< Longer tasks keep slots free.
-    placement_kind placement_strategy =
-        placement_kind::late_binding;   ///< Strategy.
-    placement_settings placement;       ///< Limits of placements.
+    std::uint32_t shard = 0;             ///< Index of this shard, from 0.
+    std::uint32_t shards = 1;            ///< Number of shards of the entry.
+    duration id_lifetime = seconds{120}; ///< Lifetime of a submission id.
+    duration ack_delay = seconds{20};    ///< Retention of results at agents.
+    duration start_window = seconds{10}; ///< Latest begin after the send.
+    double long_task_seconds = 1.0;      ///< Threshold of long tasks, s.
+    placement_kind placement_strategy = placement_kind::late_binding;
+    placement_settings placement;       ///< Limits of placement.
     job_queue_settings queue;           ///< Order of jobs.
     admission_settings admission;       ///< Limits of admission.
     retry_settings retry;               ///< Limits of retries.
-    health_settings health;             ///< Judgement on runners.
-    team_quota_settings quota;          ///< Limits of quotas.
+    health_settings health;             ///< Limits of runner health.
+    team_quota_settings quota;          ///< Limits of team quotas.
     std::size_t ring_records = 262'144; ///< Decisions kept for `why`.
 };
 
 /// Counters of a coordinator.
 struct coordinator_stats
 {
-    std::uint64_t admitted = 0;       ///< Jobs taken.
+    std::uint64_t admitted = 0;       ///< Jobs admitted.
     std::uint64_t joined = 0;         ///< Resubmissions of a known job.
-    std::uint64_t completed = 0;      ///< Jobs answered whole.
+    std::uint64_t completed = 0;      ///< Jobs answered complete.
     std::uint64_t failed = 0;         ///< Jobs marked failed.
     std::uint64_t refused = 0;        ///< Jobs refused.
-    std::uint64_t tasks_admitted = 0; ///< Tasks of jobs taken.
+    std::uint64_t tasks_admitted = 0; ///< Tasks of admitted jobs.
     std::uint64_t sent = 0;           ///< Starts sent.
-    std::uint64_t retried = 0;        ///< Of them, not the first of a task.
-    std::uint64_t late_ends = 0;      ///< Ends nobody waited for any more.
+    std::uint64_t retried = 0;        ///< Starts that were retries.
+    std::uint64_t late_ends = 0;      ///< Ends of tasks whose job had ended.
 };
 
 /// One row of `show jobs`.
 struct job_row
 {
-    std::string id;          ///< The submission.
-    std::string team;        ///< Whose it is.
+    std::string id;          ///< Submission id.
+    std::string team;        ///< Team of the job.
     std::string state;       ///< running, complete or failed.
-    std::size_t tasks = 0;   ///< All tasks.
-    std::size_t done = 0;    ///< Tasks that ended.
+    std::size_t tasks = 0;   ///< Number of tasks.
+    std::size_t done = 0;    ///< Tasks that have ended.
     std::size_t waiting = 0; ///< Tasks not yet sent.
-    duration age{};          ///< Since it was taken.
+    duration age{};          ///< Time since admission.
 };
 
-/// Coordinates the jobs that one entry shard accepted: admits, queues, places,
-/// collects and answers. Only it starts their tasks, and it sends a task a
-/// second time only after the first agent said `not_run` (or, for a request
-/// marked repeatable, when it may have run). One thread; no I/O of its own.
+/// Coordinates the jobs that one entry shard has admitted: queues their tasks,
+/// places them on runners, collects results and answers callers. Only the
+/// coordinator starts these tasks. It resends a task only after the agent
+/// answered `not_run`, or, for a request marked repeatable, also after
+/// `may_have_run`. Single-threaded; does no I/O itself.
 class coordinator final
 {
 public:
-    /// Called once with the answer to a request.
+    /// Callback that receives the answer to a request once.
     using answer_handler = std::function<void(const job_answer&)>;
 
     /// @param clock The entry's clock; outlives the coordinator.
     /// @param sender Sends starts; outlives the coordinator.
-    /// @param incarnation Random number of this start of the entry.
-    /// @param settings Limits.
-    /// @param seed Of all random choices.
+    /// @param incarnation Random number chosen at each start of the entry.
+    /// @param settings Limits and strategies.
+    /// @param seed Seed of all random choices.
     coordinator(const clock_source& clock, start_sender& sender,
                 std::uint64_t incarnation, const coordinator_settings& settings,
                 std::uint64_t seed);
     ~coordinator();
 
-    /// @return A fresh submission id of this shard.
+    /// @return A new submission id of this shard.
     submission_id issue_id();
 
-    /// Runs a job, or joins it, or answers from memory.
-    /// @param sequence The submission, of this shard.
-    /// @param request The checked job.
-    /// @param trace Its place in a trace, if it is in one.
-    /// @param done Called with the answer, perhaps at once.
+    /// Admits a job, joins a caller to a job in flight, or answers from a kept
+    /// answer.
+    /// @param sequence Sequence number issued by this shard.
+    /// @param request The validated job.
+    /// @param trace Trace context of the caller, if any.
+    /// @param done Called with the answer, possibly before this returns.
     void submit(std::uint64_t sequence, job_request request,
                 std::optional<trace_context> trace, answer_handler done);
 
-    /// @param sequence The submission, of this shard.
-    /// @return The answer to a question about it.
+    /// @param sequence Sequence number issued by this shard.
+    /// @return The state or the answer of the job.
     job_answer lookup(std::uint64_t sequence);
 
-    /// Cancels what has not started of a job.
-    /// @param sequence The submission, of this shard.
-    /// @return The tasks that will not start, or the problem.
+    /// Cancels the tasks of a job that have not been sent, and fails the job.
+    /// @param sequence Sequence number issued by this shard.
+    /// @return Number of cancelled tasks, or the problem.
     api_result<std::size_t> cancel(std::uint64_t sequence);
 
-    /// @param runner A runner whose link came up; a new index extends the
-    /// table by one.
-    /// @param own_hall Whether it stands in the entry's hall.
-    /// @param report Its load.
+    /// Marks a runner as connected.
+    /// @param runner The runner; the next unused index extends the table.
+    /// @param own_hall Whether the runner is in the entry's hall.
+    /// @param report Load of the runner.
     void link_up(runner_index runner, bool own_hall, const load_report& report);
 
-    /// @param runner A runner whose link went down. Tasks there end one by one
-    /// through task_ended.
+    /// Marks a runner as disconnected. Its tasks end one by one through
+    /// task_ended.
+    /// @param runner The runner whose link broke.
     void link_down(runner_index runner);
 
-    /// @param runner A runner.
-    /// @param report Its load as just reported.
+    /// Updates the load of a runner.
+    /// @param runner The runner.
+    /// @param report The load just received.
     void report_load(runner_index runner, const load_report& report);
 
-    /// @param runner Where a task was.
-    /// @param end How it ended.
+    /// Handles the end of a task.
+    /// @param runner The runner that the task was sent to.
+    /// @param end Verdict, reason and result.
     void task_ended(runner_index runner, task_end end);
 
-    /// @param runner A runner.
-    /// @param on Whether it gets no new work, whatever its agent says.
-    /// @param why The cause, for the decision log.
+    /// Sets whether a runner is drained, regardless of its agent's reports.
+    /// @param runner The runner.
+    /// @param on Whether the runner gets no new work.
+    /// @param why The cause for the decision log.
     void set_drained(runner_index runner, bool on, reason why);
 
-    /// Places what can be placed; called after a batch of events.
+    /// Sends waiting tasks to free runners. Called after a batch of events.
     void dispatch();
 
-    /// Does what is due: deadlines, backoffs, acknowledgements, old answers.
+    /// Processes what is due: deadlines, backoffs, acknowledgements and expired
+    /// answers.
     void tick();
 
-    /// @return When tick() has something to do, or nothing.
+    /// @return The time of the next required tick(), or nothing.
     std::optional<instant> next_wake() const;
 
-    /// Refuses new jobs as stopping; jobs in flight go on.
+    /// Refuses new jobs with the reason stopping; jobs in flight continue.
     void stop_accepting() { stopping_ = true; }
 
     /// @return Whether no job is in flight.
     bool idle() const { return open_jobs_ == 0; }
 
-    /// @return Whether an agent said that this incarnation was adopted.
+    /// @return Whether an agent reported that another entry has adopted this
+    /// incarnation.
     bool fenced() const { return fenced_; }
 
-    /// @param settings New limits; hall, entry and shard stay.
+    /// Applies new settings; hall, entry, shard and shards are kept.
+    /// @param settings The new settings.
     void apply(const coordinator_settings& settings);
 
-    /// @return The limits in force.
+    /// @return The settings in force.
     const coordinator_settings& settings() const { return settings_; }
 
-    /// @return Quotas and demand of teams.
+    /// @return Quotas and demand of the teams.
     team_quota& quota() { return quota_; }
 
-    /// @param team A team.
-    /// @param weight Its share of the queue against other teams.
+    /// Sets the weight of a team in the queues.
+    /// @param team The team.
+    /// @param weight Share relative to other teams.
     void set_weight(const std::string& team, double weight);
 
-    /// @return The decisions made here.
+    /// @return The decision log of this shard.
     decision_ring& ring() { return ring_; }
 
-    /// @param exporter Where spans go, or null.
+    /// Sets the receiver of trace spans.
+    /// @param exporter The exporter, or null to turn tracing off.
     void set_span_exporter(span_exporter* exporter) { spans_ = exporter; }
 
-    /// @return What is known of the runners.
+    /// @return State of the runners, by index.
     const std::vector<runner_view>& runners() const { return views_; }
 
-    /// @return Counters.
+    /// @return Counters of jobs and tasks since the start.
     const coordinator_stats& stats() const { return stats_; }
 
-    /// @param most Rows at most.
-    /// @return Jobs, those in flight first.
+    /// @param max_rows Largest number of rows.
+    /// @return Rows of jobs, open jobs first.
     std::vector<job_row> job_rows(std::size_t max_rows) const;
 
-    /// One kept answer.
+    /// The answer of an ended job.
     struct kept_answer
     {
-        std::uint64_t sequence = 0;  ///< The submission.
-        std::uint64_t body_hash = 0; ///< Of its body.
-        job_answer answer;           ///< What its caller was told.
+        std::uint64_t sequence = 0;  ///< Sequence number of the submission.
+        std::uint64_t body_hash = 0; ///< Hash of the job's body.
+        job_answer answer;           ///< The answer sent to the caller.
     };
 
-    /// @return The answers of all jobs that have ended.
+    /// @return The answers of all ended jobs.
     std::vector<kept_answer> kept_answers() const;
 
-    /// @return Tasks that wait here.
+    /// @return Tasks that wait in the queues.
     std::size_t queued_tasks() const
     {
         return short_queue_.tasks() + long_queue_.tasks();
     }
 
-    /// @return Jobs kept, in flight or ended.
+    /// @return Number of open and ended jobs.
     std::size_t jobs() const { return jobs_.size(); }
 
-    /// @return Bytes of kept answers.
+    /// @return Size of kept answers, bytes.
     std::size_t kept_bytes() const { return kept_bytes_; }
 
-    /// @param page Gets the metrics of this shard.
+    /// Adds the metrics of this shard to a page.
     void collect(metric_page& page) const;
 
-    /// @param sequence A submission.
-    /// @return Its id as callers see it.
+    /// @param sequence Sequence number of a submission.
+    /// @return The full submission id.
     std::string id_text(std::uint64_t sequence) const;
 
 private:
     struct task;
     struct job;
 
-    /// A task that waits out a backoff.
+    /// A task that waits for the end of its backoff.
     struct delayed_task
     {
-        instant due{}; ///< When it goes back to the queue.
-        task_key key;  ///< Which it is.
+        instant due{}; ///< Time of the return to the queue.
+        task_key key;
 
         auto operator<=>(const delayed_task&) const = default;
     };
 
-    /// Results that agents may forget after a while.
+    /// A result to be acknowledged later.
     struct pending_ack
     {
-        instant due{};           ///< When.
-        runner_index runner = 0; ///< Where they are.
-        task_key key;            ///< Which.
+        instant due{};           ///< Time of the acknowledgement.
+        runner_index runner = 0; ///< The runner that has the result.
+        task_key key;
     };
 
     void refuse(std::uint64_t sequence, const api_problem& problem,
@@ -323,7 +335,7 @@
     void acknowledge_later(runner_index runner, const task_key& key);
     void record_health(runner_index runner, const task_end& end,
                        double expected);
-    void note_length(job& current_job, const task_end& end);
+    void record_length(job& current_job, const task_end& end);
     double expected_seconds(const std::string& team, double requested) const;
     void handle_fencing();
     void send_due_acks(instant now);
@@ -335,41 +347,45 @@
                    const task_key& key, std::int64_t begin,
                    const trace_context& context, const std::string& parent);
 
-    const clock_source& clock_;            ///< The entry's clock.
-    start_sender& sender_;                 ///< Sends starts.
-    std::uint64_t incarnation_;            ///< This start of the entry.
-    coordinator_settings settings_;        ///< Limits in force.
-    random_engine random_;                 ///< Of all choices.
-    sequence_generator sequences_;         ///< Sequence numbers.
+    const clock_source& clock_;
+    start_sender& sender_;
+    std::uint64_t incarnation_; ///< Incarnation of the entry.
+    coordinator_settings settings_;
+    random_engine random_;                 ///< Generator of all random choices.
+    sequence_generator sequences_;         ///< Issues sequence numbers.
     std::unique_ptr<placement> placement_; ///< Chooses runners.
     job_queue short_queue_;                ///< Jobs of short tasks.
     job_queue long_queue_;                 ///< Jobs of long tasks.
-    retry_budget retries_;                 ///< Budget of each team.
-    health_monitor health_;                ///< Judges runners.
-    occupancy_estimate occupancy_;         ///< Tasks of other entries.
-    team_quota quota_;                     ///< Limits of each team.
-    decision_ring ring_;                   ///< For `why`.
-    span_exporter* spans_ = nullptr;       ///< May be null.
-
-    std::unordered_map<std::uint64_t, std::unique_ptr<job>> jobs_; ///< All.
-    std::map<std::uint64_t, std::uint64_t> ended_jobs_;     ///< For expiry.
-    std::size_t open_jobs_ = 0;                             ///< In flight.
-    std::size_t kept_bytes_ = 0;                            ///< Of answers.
-    std::set<std::pair<instant, std::uint64_t>> deadlines_; ///< Of open jobs.
-    std::set<delayed_task> delayed_;       ///< Waiting out a backoff.
-    std::deque<pending_ack> pending_acks_; ///< Oldest first.
-    std::map<std::string, double> mean_task_seconds_; ///< Mean length by team.
-    std::vector<runner_view> views_;                  ///< By index.
-    std::vector<bool> drained_; ///< By index, by order or list.
-    std::vector<std::int32_t>
-        linked_shards_; ///< By index, shards linked to it.
-    std::map<runner_index, std::vector<outgoing_start>> outbox_; ///< To send.
-    bool stopping_ = false;         ///< No new jobs.
-    bool fenced_ = false;           ///< Another entry adopted us.
-    coordinator_stats stats_;       ///< Counters.
-    latency_summary job_seconds_;   ///< From admission to answer.
-    latency_summary queue_seconds_; ///< From admission to send, per task.
-    latency_summary link_seconds_;  ///< Message time there and back.
+    retry_budget retries_;                 ///< Retry budgets of teams.
+    health_monitor health_;                ///< Health of runners.
+    occupancy_estimate occupancy_;         ///< Load by other entries.
+    team_quota quota_;                     ///< Quotas of teams.
+    decision_ring ring_;                   ///< Decisions kept for `why`.
+    span_exporter* spans_ = nullptr;       ///< Null if tracing is off.
+
+    /// Open and ended jobs.
+    std::unordered_map<std::uint64_t, std::unique_ptr<job>> jobs_;
+    /// Ended jobs by sequence.
+    std::map<std::uint64_t, std::uint64_t> ended_jobs_;
+    std::size_t open_jobs_ = 0;  ///< Number of open jobs.
+    std::size_t kept_bytes_ = 0; ///< Size of kept answers.
+    /// Deadlines of open jobs.
+    std::set<std::pair<instant, std::uint64_t>> deadlines_;
+    std::set<delayed_task> delayed_;       ///< Tasks in backoff.
+    std::deque<pending_ack> pending_acks_; ///< Ordered by due time.
+    /// Mean task length by team.
+    std::map<std::string, double> mean_task_seconds_;
+    std::vector<runner_view> views_;          ///< Runners by index.
+    std::vector<bool> drained_;               ///< Drain flags, by index.
+    std::vector<std::int32_t> linked_shards_; ///< Linked shards, by index.
+    /// Starts to send.
+    std::map<runner_index, std::vector<outgoing_start>> outbox_;
+    bool stopping_ = false; ///< New jobs are refused.
+    bool fenced_ = false;   ///< Another entry adopted the jobs.
+    coordinator_stats stats_;
+    latency_summary job_seconds_;   ///< Admission to answer, s.
+    latency_summary queue_seconds_; ///< Admission to send per task, s.
+    latency_summary link_seconds_;  ///< Round-trip time of messages, s.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/foreign_jobs.cpp
+++ b/src/glenhollow/entry/foreign_jobs.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-/// What is known of one incarnation of another entry.
+/// State of one incarnation of another entry.
 struct foreign_jobs::incarnation_state
 {
     incarnation_state(const std::string& hall, const std::string& entry,
@@ -32,25 +32,25 @@
     {
     }
 
-    /// A request that waits for the adoption.
+    /// A request that waits for an adoption.
     struct waiting_request
     {
-        request incoming;     ///< The request.
-        answer_callback done; ///< Whom to tell.
+        request incoming;
+        answer_callback done; ///< Called with the answer.
     };
 
-    std::uint64_t incarnation;            ///< Which.
-    std::string entry;                    ///< Whose.
-    adopted_answers answers;              ///< What can be answered.
-    bool adopted = false;                 ///< Its agents were fenced.
+    std::uint64_t incarnation;
+    std::string entry;                    ///< Name of the entry.
+    adopted_answers answers;              ///< Answers held for the entry.
+    bool adopted = false;                 ///< All its agents were fenced.
     bool ready = false;                   ///< Adopted or handed over.
-    std::vector<waiting_request> waiting; ///< For the adoption.
-    std::vector<member> agents_to_fence;  ///< Agents in the next round.
-    std::size_t pending_replies = 0;      ///< Agents not yet answered.
-    bool declined = false;                ///< By one in this round.
-    std::vector<member> ask_again;        ///< Tasks still run there.
-    std::size_t unreachable_agents = 0;   ///< Agents that gave no answer.
-    instant since{};                      ///< When it began or was ready.
+    std::vector<waiting_request> waiting; ///< Answered after the adoption.
+    std::vector<member> agents_to_fence;  ///< Agents of the next round.
+    std::size_t pending_replies = 0;     ///< Replies outstanding in this round.
+    bool declined = false;               ///< An agent of this round declined.
+    std::vector<member> agents_to_retry; ///< Agents to fence again.
+    std::size_t unreachable_agents = 0;  ///< Agents that did not answer.
+    instant since{}; ///< Begin of the adoption, or time of readiness.
 };
 
 foreign_jobs::foreign_jobs(boost::asio::io_context& io,
@@ -109,13 +109,14 @@
 
 void foreign_jobs::find_holder(request incoming, answer_callback done)
 {
-    const auto heir = holders_.find(incoming.id.incarnation);
-    if (heir != holders_.end() && peers_.report_of(heir->second))
+    const auto holder = holders_.find(incoming.id.incarnation);
+    if (holder != holders_.end() && peers_.report_of(holder->second))
     {
-        const auto to = heir->second;
+        const auto to = holder->second;
         return forward(to, std::move(incoming), true, std::move(done));
     }
-    // An heir that was named before we came is found by asking around.
+    // The holder may have been announced before this entry started, so all
+    // peers are asked.
     const auto others = peers_.reachable();
     if (others.empty())
         return choose_adopter(std::move(incoming), std::move(done));
@@ -152,8 +153,7 @@
 
 void foreign_jobs::choose_adopter(request incoming, answer_callback done)
 {
-    // All entries rank alike, so that one of them adopts and all agree on the
-    // answers.
+    // All entries use the same ranking, so that a single one adopts.
     auto candidates = peers_.reachable();
     candidates.push_back(settings_.entry);
     const auto ranked = rendezvous_order(
@@ -166,8 +166,8 @@
 void foreign_jobs::adopt(request incoming, answer_callback done)
 {
     auto& known = incarnations_[incoming.id.incarnation];
-    const bool fresh = !known;
-    if (fresh)
+    const bool is_new = !known;
+    if (is_new)
     {
         known = std::make_shared<incarnation_state>(
             incoming.id.hall, incoming.id.entry, incoming.id.incarnation);
@@ -175,7 +175,7 @@
     }
     const auto state = known;
     state->waiting.push_back({std::move(incoming), std::move(done)});
-    if (!fresh)
+    if (!is_new)
         return;
     state->agents_to_fence = agents_of(state->waiting.front().incoming.id);
     run_fence_round(state);
@@ -186,8 +186,8 @@
     auto runners = members_.with_role(member_role::runner);
     if (runners.size() <= settings_.max_agents_without_subset)
         return runners;
-    // In a large system only the agents are asked that the entry can have had
-    // links to; twice as many as now, since members have come and gone.
+    // Large systems fence only the agents that the entry may have been linked
+    // to. The subset is doubled, because members may have changed since.
     auto entries = members_.with_role(member_role::entry);
     if (!members_.find(id.entry))
         entries.push_back(
@@ -204,7 +204,7 @@
     auto agents = std::exchange(state->agents_to_fence, {});
     state->pending_replies = agents.size();
     state->declined = false;
-    state->ask_again.clear();
+    state->agents_to_retry.clear();
     if (agents.empty())
         return finish_fence_round(state);
     for (const auto& agent : agents)
@@ -217,7 +217,7 @@
                           if (answer.declined)
                               state->declined = true;
                           if (answer.declined || answer.unfinished > 0)
-                              state->ask_again.push_back(agent);
+                              state->agents_to_retry.push_back(agent);
                           state->answers.add(answer.records);
                           if (--state->pending_replies == 0)
                               finish_fence_round(state);
@@ -231,14 +231,14 @@
     const auto waited = clock_.now() - state->since;
     if (state->declined && waited > settings_.decline_timeout)
         return decline_adoption(state);
-    const bool ask_again =
-        !state->ask_again.empty() &&
+    const bool retry =
+        !state->agents_to_retry.empty() &&
         (state->declined || waited < settings_.max_unfinished_wait);
-    if (ask_again)
+    if (retry)
     {
-        state->agents_to_fence = state->ask_again;
+        state->agents_to_fence = state->agents_to_retry;
         const auto pause = state->declined ? settings_.decline_retry_interval
-                                           : settings_.ask_again;
+                                           : settings_.unfinished_poll_interval;
         return run_after(io_, pause, [this, state] { run_fence_round(state); });
     }
     state->ready = state->adopted = true;
@@ -268,7 +268,8 @@
 void foreign_jobs::decline_adoption(
     const std::shared_ptr<incarnation_state>& state)
 {
-    // An agent still hears from it: it lives, only we cannot reach it.
+    // An agent still hears from the entry: it is alive, but not reachable from
+    // here.
     ++declined_adoptions_;
     incarnations_.erase(state->incarnation);
     const auto waiting = std::exchange(state->waiting, {});
@@ -283,11 +284,11 @@
     auto& known = incarnations_[incarnation];
     if (!known)
         known = std::make_shared<incarnation_state>(hall, entry, incarnation);
-    // What was answered for an adopted incarnation stays as it was, also when
-    // the entry wakes and hands over what it thinks.
+    // Answers given after an adoption are final, even if the entry recovers and
+    // hands over other ones.
     if (known->adopted)
         return;
-    known->answers.keep(answers);
+    known->answers.add_kept_answers(answers);
     known->ready = true;
     known->since = clock_.now();
     answer_waiting_requests(known);
@@ -309,7 +310,7 @@
     const instant oldest = clock_.now() - settings_.answer_retention;
     std::erase_if(incarnations_, [&](const auto& one)
                   { return one.second->ready && one.second->since < oldest; });
-    // Heirs are few; they are dropped in bulk once they are many.
+    // The map is only a cache of known holders, so it is cleared when full.
     constexpr std::size_t max_holders = 10'000;
     if (holders_.size() > max_holders)
         holders_.clear();
@@ -317,14 +318,15 @@
 
 void foreign_jobs::collect(metric_page& page) const
 {
-    page.counter("adoptions_total", "Incarnations of other entries adopted",
+    page.counter("adoptions_total", "Adopted incarnations of other entries",
                  static_cast<double>(adoptions_));
     page.counter("adoptions_declined_total",
-                 "Adoptions given up because the entry is alive",
+                 "Adoptions abandoned because the entry is alive",
                  static_cast<double>(declined_adoptions_));
-    page.counter("forwarded_total", "Requests sent on to other entries",
+    page.counter("forwarded_total", "Requests forwarded to other entries",
                  static_cast<double>(forwarded_));
-    page.gauge("incarnations_held", "Incarnations whose answers are here",
+    page.gauge("incarnations_held",
+               "Incarnations of other entries whose answers are held",
                static_cast<double>(incarnations_.size()));
 }
 
--- a/src/glenhollow/entry/job.cpp
+++ b/src/glenhollow/entry/job.cpp
@@ -189,7 +189,7 @@
     body.reserve(size);
     body.append(R"({"submission":")").append(id);
     body.append(R"(","state":"complete","results":[)");
-    // The results are JSON text already, so they are joined as they are.
+    // The results are JSON text already and are copied unchanged.
     for (std::size_t i = 0; i < results.size(); ++i)
     {
         if (i > 0)
--- a/src/glenhollow/entry/job.hpp
+++ b/src/glenhollow/entry/job.hpp
@@ -17,28 +17,29 @@
 /// Limits of one job.
 struct job_limits
 {
-    std::size_t max_tasks = 1000;            ///< In one job.
-    duration max_deadline = seconds{120};    ///< A caller may ask for.
-    duration default_deadline = seconds{30}; ///< When a caller names none.
+    std::size_t max_tasks = 1000;            ///< Largest number per job.
+    duration max_deadline = seconds{120};    ///< Longest deadline of a caller.
+    duration default_deadline = seconds{30}; ///< Used if the caller gives none.
 };
 
 /// A job as a caller sent it, checked.
 struct job_request
 {
-    std::string team;                  ///< Whose it is.
-    duration deadline{};               ///< Left when it came in.
-    bool repeatable = false;           ///< The only task may run twice.
-    double expected_seconds = 0;       ///< Of one task, 0: not said.
-    std::vector<std::string> payloads; ///< JSON text of each task.
-    std::uint64_t body_hash = 0;       ///< Of the body as sent.
+    std::string team;        ///< Team of the job.
+    duration deadline{};     ///< Time left at arrival.
+    bool repeatable = false; ///< The only task may be rerun.
+    /// Expected length of a task, s; 0 if unknown.
+    double expected_seconds = 0;
+    std::vector<std::string> payloads; ///< JSON text per task.
+    std::uint64_t body_hash = 0;       ///< Hash of the body as received.
 };
 
-/// The answer to a caller: an HTTP status with a JSON body.
+/// The answer to a caller: an HTTP status and a JSON body.
 struct job_answer
 {
-    unsigned status = 200;     ///< HTTP status.
-    reason why = reason::none; ///< Of a refusal or failure.
-    duration retry_after{};    ///< When to come back; 0: not said.
+    unsigned status = 200;
+    reason why = reason::none; ///< Reason of a refusal or failure.
+    duration retry_after{};    ///< Delay before a retry; 0 if not given.
     std::string body;          ///< JSON text.
 
     /// @return Whether the body is a problem document.
@@ -48,45 +49,46 @@
 /// A refused request.
 struct api_problem
 {
-    unsigned status = 400;           ///< HTTP status.
-    reason why = reason::malformed;  ///< Its name goes into the answer.
-    std::string detail;              ///< Names the field and the range.
+    unsigned status = 400;
+    reason why = reason::malformed;  ///< Its name is part of the answer.
+    std::string detail;              ///< Names the field and its allowed range.
     verdict what = verdict::not_run; ///< Whether the job may have run.
-    duration retry_after{};          ///< 0: not said.
+    duration retry_after{};          ///< Delay before a retry; 0 if not given.
 
-    /// @return The problem as an answer.
+    /// @return The problem document as an answer.
     job_answer to_answer() const;
 };
 
-/// A value or the problem that a caller is told.
+/// A value, or the problem to report to the caller.
 template <class T>
 using api_result = outcome::result<T, api_problem, outcome::policy::all_narrow>;
 
-/// Checks the body of a job.
+/// Parses and validates the body of a job.
 /// @param body JSON text.
-/// @param limits Ranges.
-/// @return The job, or the first thing that is wrong with it.
+/// @param limits Allowed ranges.
+/// @return The job, or the first problem found.
 api_result<job_request> parse_job(std::string_view body,
                                   const job_limits& limits);
 
-/// @param body A body as sent.
-/// @return Its hash, to tell another body under the same id.
+/// Hashes a body, to detect a resubmission with another body.
+/// @param body The body as received.
+/// @return The hash.
 std::uint64_t hash_body(std::string_view body);
 
-/// @param id A submission.
-/// @param results JSON text of each task's result, in task order.
-/// @return The answer of a job that is complete.
+/// @param id Submission id.
+/// @param results JSON text of the results, in task order.
+/// @return The answer of a completed job.
 job_answer complete_answer(const std::string& id,
                            const std::vector<std::string>& results);
 
-/// @param id A submission.
-/// @param what Whether any of it may have run.
+/// @param id Submission id.
+/// @param what Whether any task may have run.
 /// @param why The cause.
-/// @return The answer of a job that is marked failed.
+/// @return The answer of a failed job.
 job_answer failed_answer(const std::string& id, verdict what, reason why);
 
-/// @param id A submission.
-/// @return The answer to a question about a job in flight.
+/// @param id Submission id.
+/// @return The answer to a lookup of a job in flight.
 job_answer running_answer(const std::string& id);
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/sequence_generator.cpp
+++ b/src/glenhollow/entry/sequence_generator.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-/// Numbers minted within this time share one entry of the mint's memory.
+/// Numbers issued within this interval share one batch.
 constexpr duration batch_interval = milliseconds{100};
 
 } // namespace
@@ -16,8 +16,8 @@
     ++count_;
     if (batches_.empty() || now - batches_.back().at > batch_interval)
         batches_.push_back({count_, now});
-    // The batch keeps the time of its first number: all expire a little early
-    // rather than late, never before their record.
+    // A batch keeps the time of its first number, so its numbers expire
+    // slightly early rather than late.
     batches_.back().last = count_;
     return sequence_of(count_);
 }
--- a/tests/unit/entry/adopted_answers_tests.cpp
+++ b/tests/unit/entry/adopted_answers_tests.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("only a job found whole is answered complete")
+TEST_CASE("a job is answered complete only if agents hold all its results")
 {
     adopted_answers answers("h1", "e1", 9);
     answers.add({record(1, 1, 2, verdict::ran)});
@@ -40,7 +40,8 @@
     REQUIRE(answers.complete_jobs() == 1);
 }
 
-TEST_CASE("a handed over answer is given as it was, another body refused")
+TEST_CASE(
+    "a handed over answer is returned unchanged and another body is refused")
 {
     adopted_answers answers("h1", "e1", 9);
     job_answer kept;
@@ -52,7 +53,7 @@
     REQUIRE(answers.answer(1, 99).status == 409);
 }
 
-TEST_CASE("a job nobody knows may have run")
+TEST_CASE("a job without any record is answered as may_have_run")
 {
     adopted_answers answers("h1", "e1", 9);
     REQUIRE(body_contains(answers.answer(8, 5), R"("verdict":"may_have_run")"));
--- a/tests/unit/entry/coordinator_tests.cpp
+++ b/tests/unit/entry/coordinator_tests.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// A coordinator with two runners of two slots.
+/// A coordinator whose runners have two slots each.
 struct fixture
 {
     manual_clock clock;
@@ -88,7 +88,7 @@
 
 } // namespace
 
-TEST_CASE("a job is answered once, whole and in task order")
+TEST_CASE("a job is answered once, with all results in task order")
 {
     fixture f;
     f.submit(fixture::request(3));
@@ -125,7 +125,7 @@
     REQUIRE(f.sender.sent.size() == 1);
 }
 
-TEST_CASE("forged and expired ids are refused with the right verdict")
+TEST_CASE("unknown ids are refused as not_run, expired ones as may_have_run")
 {
     fixture f;
     f.submit(999, fixture::request(1));
@@ -141,7 +141,7 @@
     REQUIRE(f.sender.sent.size() == 1);
 }
 
-TEST_CASE("what may have run is failed at once and never started again")
+TEST_CASE("a task that may have run fails its job and is never restarted")
 {
     fixture f;
     f.submit(fixture::request(4));
@@ -149,14 +149,14 @@
     REQUIRE(f.answers.size() == 1);
     REQUIRE(body_contains(f.answers[0], R"("state":"failed")"));
     REQUIRE(body_contains(f.answers[0], R"("verdict":"may_have_run")"));
-    // Late ends change nothing and start nothing.
+    // Later ends neither change the answer nor start a task.
     f.end(1, verdict::ran);
     f.advance_time(seconds{20});
     REQUIRE(f.answers.size() == 1);
     REQUIRE(f.sender.sent.size() == 4);
 }
 
-TEST_CASE("a repeatable request is started again after it may have run")
+TEST_CASE("a repeatable request is restarted after it may have run")
 {
     fixture f;
     f.submit(fixture::request(1, true));
@@ -169,7 +169,7 @@
     REQUIRE(body_contains(f.answers.at(0), "complete"));
 }
 
-TEST_CASE("a task that was refused goes to another runner")
+TEST_CASE("a refused task is sent to another runner")
 {
     fixture f;
     f.submit(fixture::request(1));
@@ -179,7 +179,7 @@
     REQUIRE(f.sender.sent[1].first != f.sender.sent[0].first);
 }
 
-TEST_CASE("with one runner a refused task comes back to it")
+TEST_CASE("a refused task is resent to the only runner")
 {
     fixture f({}, 1);
     f.submit(fixture::request(1));
@@ -188,7 +188,7 @@
     REQUIRE(f.sender.sent.size() == 2);
 }
 
-TEST_CASE("retries are bounded by the budget of the team")
+TEST_CASE("retries are limited by the budget of the team")
 {
     coordinator_settings settings;
     settings.retry.initial_budget = 2;
@@ -199,14 +199,14 @@
         f.end(i, verdict::not_run, reason::runner_refused);
         f.advance_time(seconds{1});
     }
-    // 2 retries were saved up, 0.1 was earned by the task itself.
+    // The initial budget allows 2 retries; the task itself earns only 0.1.
     REQUIRE(f.sender.sent.size() == 3);
     REQUIRE(f.answers.size() == 1);
     REQUIRE(body_contains(f.answers[0], R"("verdict":"not_run")"));
     REQUIRE(body_contains(f.answers[0], "runner_refused"));
 }
 
-TEST_CASE("a job without any start by its deadline was not run")
+TEST_CASE("a job without a start by its deadline is answered as not_run")
 {
     fixture f;
     f.submit(fixture::request(4));
@@ -216,12 +216,12 @@
     REQUIRE(body_contains(f.answers[0], R"("verdict":"may_have_run")"));
     REQUIRE(body_contains(f.answers[1], R"("verdict":"not_run")"));
     REQUIRE(body_contains(f.answers[1], "deadline_passed"));
-    // The slot that becomes free later is not used for it.
+    // A slot that becomes free after the deadline starts no task of it.
     f.end(0, verdict::ran);
     REQUIRE(f.sender.sent.size() == 4);
 }
 
-TEST_CASE("a drained runner gets no start whatever its agent says")
+TEST_CASE("a drained runner gets no start, whatever its agent reports")
 {
     fixture f;
     f.jobs.set_drained(0, true, reason::operator_command);
@@ -237,7 +237,7 @@
     REQUIRE(f.sender.sent.size() == 4);
 }
 
-TEST_CASE("an adopted coordinator fails its jobs and starts nothing")
+TEST_CASE("an adopted coordinator fails its jobs and starts no more tasks")
 {
     fixture f;
     f.submit(fixture::request(6));
@@ -250,7 +250,7 @@
     REQUIRE(f.sender.sent.size() == 4);
 }
 
-TEST_CASE("a stopping coordinator takes no job but answers the others")
+TEST_CASE("a stopping coordinator refuses new jobs and answers known ones")
 {
     fixture f;
     const auto sequence = f.submit(fixture::request(1));
@@ -264,7 +264,7 @@
     REQUIRE(f.jobs.idle());
 }
 
-TEST_CASE("cancel stops what has not started, nothing else")
+TEST_CASE("cancel stops only tasks that have not been sent")
 {
     fixture f;
     const auto sequence = f.submit(fixture::request(6));
@@ -277,7 +277,7 @@
     REQUIRE_FALSE(f.jobs.cancel(12345));
 }
 
-TEST_CASE("results are acknowledged a while after the job's answer")
+TEST_CASE("results are acknowledged after a delay once the job is answered")
 {
     fixture f;
     f.submit(fixture::request(2));
@@ -293,7 +293,8 @@
     REQUIRE(keys == 2);
 }
 
-TEST_CASE("kept answers at their limit refuse new jobs, forget none")
+TEST_CASE(
+    "new jobs are refused, and no answer dropped, at the limit of kept answers")
 {
     coordinator_settings settings;
     settings.admission.max_kept_bytes = 600;
@@ -314,7 +315,7 @@
         REQUIRE(body_contains(f.jobs.lookup(sequence), "complete"));
 }
 
-TEST_CASE("a quota of 0 refuses all work of the team")
+TEST_CASE("a quota of 0 refuses all jobs of the team")
 {
     fixture f;
     f.jobs.quota().set_quota("desk", 0);
@@ -325,7 +326,7 @@
     REQUIRE(f.sender.sent.empty());
 }
 
-TEST_CASE("the ring tells the chain of a task")
+TEST_CASE("the decision ring records all decisions about a task")
 {
     fixture f;
     const auto sequence = f.submit(fixture::request(1));
--- a/tests/unit/entry/fake_sender.hpp
+++ b/tests/unit/entry/fake_sender.hpp
@@ -10,7 +10,7 @@
 namespace glenhollow
 {
 
-/// Keeps what a coordinator sends.
+/// Records the starts and acknowledgements that a coordinator sends.
 class fake_sender final : public start_sender
 {
 public:
@@ -27,8 +27,10 @@
         known.insert(known.end(), keys.begin(), keys.end());
     }
 
-    std::vector<std::pair<runner_index, outgoing_start>> sent;  ///< In order.
-    std::map<runner_index, std::vector<task_key>> acknowledged; ///< By runner.
+    /// Starts in sending order.
+    std::vector<std::pair<runner_index, outgoing_start>> sent;
+    /// Acknowledged results by runner.
+    std::map<runner_index, std::vector<task_key>> acknowledged;
 };
 
 } // namespace glenhollow
--- a/tests/unit/entry/job_tests.cpp
+++ b/tests/unit/entry/job_tests.cpp
@@ -4,7 +4,7 @@
 
 using namespace glenhollow;
 
-TEST_CASE("a good body is read whole")
+TEST_CASE("a valid body is parsed with all its fields")
 {
     const auto job = parse_job(
         R"({"team":"desk","deadline_ms":5000,"tasks":[{"payload":{"a":1}},
@@ -17,7 +17,7 @@
             std::vector<std::string>{R"({"a":1})", "null"});
 }
 
-TEST_CASE("each wrong body is told by its field and range")
+TEST_CASE("an invalid body is refused with the field and its range")
 {
     struct wrong_body
     {
--- a/tests/unit/entry/sequence_generator_tests.cpp
+++ b/tests/unit/entry/sequence_generator_tests.cpp
@@ -4,7 +4,7 @@
 
 using namespace glenhollow;
 
-TEST_CASE("numbers of two shards never meet")
+TEST_CASE("two shards never issue the same sequence number")
 {
     sequence_generator even(0, 2, seconds{10});
     sequence_generator odd(1, 2, seconds{10});
@@ -19,7 +19,7 @@
     REQUIRE(even.state_of(12, now) == sequence_state::never_issued);
 }
 
-TEST_CASE("a number expires after its lifetime and stays expired")
+TEST_CASE("a sequence number expires after its lifetime for good")
 {
     sequence_generator generator(0, 1, seconds{10});
     const auto first = generator.next(seconds{1});
@@ -27,12 +27,12 @@
     REQUIRE(generator.state_of(first, seconds{11}) == sequence_state::valid);
     REQUIRE(generator.state_of(first, seconds{12}) == sequence_state::expired);
     REQUIRE(generator.state_of(second, seconds{12}) == sequence_state::valid);
-    // A longer lifetime does not bring an expired number back.
+    // A longer lifetime does not restore an expired number.
     generator.set_lifetime(seconds{100});
     REQUIRE(generator.state_of(first, seconds{13}) == sequence_state::expired);
 }
 
-TEST_CASE("zero and numbers not yet given out are forged")
+TEST_CASE("zero and numbers not yet issued are rejected")
 {
     sequence_generator generator(0, 1, seconds{10});
     REQUIRE(generator.state_of(0, seconds{1}) == sequence_state::never_issued);
--- a/tests/unit/entry/waste_history_tests.cpp
+++ b/tests/unit/entry/waste_history_tests.cpp
@@ -4,7 +4,7 @@
 
 using namespace glenhollow;
 
-TEST_CASE("waste is told since a time as the difference of totals")
+TEST_CASE("waste within a period is the difference of two totals")
 {
     waste_history history;
     REQUIRE(history.within(seconds{1}, std::nullopt).tasks == 0);
@@ -19,6 +19,6 @@
     auto last = history.within(seconds{100}, seconds{30});
     REQUIRE(last[waste_kind::ping] == 6);
     REQUIRE(last.tasks == 300);
-    // Further back than is known: all there is.
+    // A period longer than the history returns all of it.
     REQUIRE(history.within(seconds{100}, seconds{3600}).tasks == 1000);
 }
