--- a/programs/entry.cpp
+++ b/programs/entry.cpp
@@ -58,10 +58,10 @@
                              "at all entries");
     line.number("report-interval", report_s, 0.5, 3600.0, "s",
                 "between writes of the night report");
-    line.number("platform-reads", settings.platform_reads, 0.1, 1000.0, "1/s",
-                "cap on reads from the platform");
-    line.number("platform-writes", settings.platform_writes, 0.1, 100.0, "1/s",
-                "cap on writes to the platform");
+    line.number("platform-reads", settings.platform_reads_per_s, 0.1, 1000.0,
+                "1/s", "cap on reads from the platform");
+    line.number("platform-writes", settings.platform_writes_per_s, 0.1, 100.0,
+                "1/s", "cap on writes to the platform");
     line.choice("log-format", format, "format of log lines");
     parse_or_exit(line, argc, argv);
 
--- a/src/glenhollow/entry/control_plane.cpp
+++ b/src/glenhollow/entry/control_plane.cpp
@@ -18,12 +18,12 @@
 
 constexpr duration quota_interval = milliseconds{250};
 constexpr duration link_interval = milliseconds{100};
-constexpr duration notable_interval = seconds{2};
+constexpr duration decision_collection_interval = seconds{2};
 constexpr duration waste_interval = seconds{10};
 constexpr std::string_view platform_list = "platform list";
 
 /// Bytes of kept answers in one message.
-constexpr std::size_t handover_bytes = 512UL << 10;
+constexpr std::size_t max_handover_message_bytes = 512UL << 10;
 
 /// Demand of the teams with a quota at one shard.
 using shard_demand = std::vector<std::pair<std::string, double>>;
@@ -109,26 +109,26 @@
                {settings.entry, settings.subset}),
       report_(settings.night_report)
 {
-    members_.on_changed([this] { take_members(); });
+    members_.on_changed([this] { apply_members(); });
     store_.on_changed([this](const configuration& newer)
-                      { take_configuration(newer); });
+                      { apply_configuration(newer); });
     peers_.on_report([this](const std::string& entry, const peer_report& report)
-                     { take_report(entry, report); });
+                     { handle_peer_report(entry, report); });
     foreign_.on_adopted(
         [this](const adoption_report& done)
         {
-            note(decision_kind::adopted, reason::entry_lost, "", "",
-                 "entry " + done.entry + ": " +
-                     std::to_string(done.complete_jobs) + " of " +
-                     std::to_string(done.jobs) + " jobs whole, " +
-                     std::to_string(done.unreachable_agents) +
-                     " agents gave no answer");
+            record_decision(decision_kind::adopted, reason::entry_lost, "", "",
+                            "entry " + done.entry + ": " +
+                                std::to_string(done.complete_jobs) + " of " +
+                                std::to_string(done.jobs) + " jobs whole, " +
+                                std::to_string(done.unreachable_agents) +
+                                " agents gave no answer");
         });
 }
 
 control_plane::~control_plane() = default;
 
-void control_plane::add_children(supervisor& parent)
+void control_plane::add_periodic_tasks(supervisor& parent)
 {
     const auto add =
         [&](std::string name, duration interval, std::function<void()> work)
@@ -145,8 +145,9 @@
             foreign_.tick();
             store_.tick();
         });
-    add("quota_shares", quota_interval, [this] { spread_quotas(); });
-    add("decision_log", notable_interval, [this] { collect_notables(); });
+    add("quota_shares", quota_interval, [this] { distribute_quota_shares(); });
+    add("decision_log", decision_collection_interval,
+        [this] { collect_notable_decisions(); });
     add("night_report", settings_.report, [this] { write_report([] {}); });
     add("waste_history", waste_interval,
         [this]
@@ -170,7 +171,8 @@
                     }
                     const auto& peers = peers_.stats();
                     counts[waste_kind::exchange] = peers.exchanges;
-                    counts[waste_kind::configuration] += peers.pulls;
+                    counts[waste_kind::configuration] +=
+                        peers.configuration_fetches;
                     counts[waste_kind::handover] = peers.handovers;
                     waste_.add(process_clock().now(), counts);
                 });
@@ -179,10 +181,10 @@
 
 void control_plane::start()
 {
-    take_configuration(store_.current());
+    apply_configuration(store_.current());
     poll();
     if (!settings_.seeds.empty())
-        learn_from_seeds();
+        request_members_from_seeds();
 }
 
 void control_plane::close()
@@ -198,8 +200,8 @@
     const instant now = process_clock().now();
     if (now < next_poll_)
         return;
-    poll_pause_ = std::min(poll_pause_ * 2, settings_.longest_poll);
-    next_poll_ = now + poll_pause_;
+    poll_interval_ = std::min(poll_interval_ * 2, settings_.max_poll_interval);
+    next_poll_ = now + poll_interval_;
     platform_.list_vms(
         vm_revision_,
         [this](platform_outcome outcome, const vm_changes& changes)
@@ -207,37 +209,38 @@
             if (outcome != platform_outcome::done)
             {
                 if (members_.members().empty())
-                    learn_from_seeds();
+                    request_members_from_seeds();
                 return;
             }
             vm_revision_ = changes.revision;
             if (!changes.changed.empty())
-                poll_pause_ = settings_.poll;
+                poll_interval_ = settings_.poll;
             members_.apply(changes.changed);
         });
     store_.poll();
-    pull_from_agents();
+    fetch_configuration_from_agents();
 }
 
-void control_plane::learn_from_seeds()
+void control_plane::request_members_from_seeds()
 {
     for (const auto& seed : settings_.seeds)
     {
-        peers_.ask_members(seed, [this](const std::vector<member>& known)
-                           { members_.add_unknown(known); });
+        peers_.request_members(seed, [this](const std::vector<member>& known)
+                               { members_.add_unknown(known); });
     }
 }
 
-void control_plane::take_members()
+void control_plane::apply_members()
 {
     const auto runners = members_.with_role(member_role::runner);
     const auto entries = members_.with_role(member_role::entry);
     const auto chosen =
         link_subset(settings_.entry, entries, runners, settings_.subset);
-    shards_.for_all([chosen](shard& one) { one.links().set_agents(chosen); });
+    shards_.post_to_all([chosen](shard& one)
+                        { one.links().set_agents(chosen); });
     peers_.set_entries(entries);
     apply_drains();
-    tell_leaving();
+    notify_leaving_agents();
 }
 
 void control_plane::apply_drains()
@@ -251,7 +254,7 @@
             one.state == member_state::leaving)
             drains.emplace(name, reason::leaving);
     }
-    shards_.for_all(
+    shards_.post_to_all(
         [drains](shard& one)
         {
             one.links().set_drains(drains);
@@ -259,7 +262,7 @@
         });
 }
 
-void control_plane::tell_leaving()
+void control_plane::notify_leaving_agents()
 {
     auto entries = peers_.reachable();
     entries.push_back(settings_.entry);
@@ -268,33 +271,33 @@
         const bool leaving = one.role == member_role::runner &&
                              one.state == member_state::leaving;
         // One entry, the same for all, tells it.
-        if (!leaving || told_leaving_.contains(name) ||
+        if (!leaving || notified_leaving_.contains(name) ||
             rendezvous_order(name, entries).front() != settings_.entry)
             continue;
-        told_leaving_.insert(name);
+        notified_leaving_.insert(name);
         agents_.drain(one, true, std::string(platform_list),
-                      [this, name = name](bool told)
+                      [this, name = name](bool notified)
                       {
-                          if (!told)
-                              told_leaving_.erase(name);
+                          if (!notified)
+                              notified_leaving_.erase(name);
                       });
     }
-    std::erase_if(told_leaving_, [this](const std::string& name)
+    std::erase_if(notified_leaving_, [this](const std::string& name)
                   { return !members_.find(name); });
 }
 
-tuning control_plane::settings_in_force() const
+tuning control_plane::effective_settings() const
 {
     return store_.current().settings(defaults_);
 }
 
-void control_plane::take_configuration(const configuration& newer)
+void control_plane::apply_configuration(const configuration& newer)
 {
     if (newer.version() > 0)
         log_change(log_level::info, "configuration_in_force",
                    {{"version", newer.version()}});
     const auto values = newer.settings(defaults_);
-    shards_.for_all(
+    shards_.post_to_all(
         [newer, values](shard& one)
         {
             apply_tuning(one, values);
@@ -302,75 +305,77 @@
             one.links().set_configuration(newer);
         });
     apply_drains();
-    if (configured_)
-        configured_(newer);
+    if (configuration_handler_)
+        configuration_handler_(newer);
 }
 
-void control_plane::take_report(const std::string& entry,
-                                const peer_report& report)
+void control_plane::handle_peer_report(const std::string& entry,
+                                       const peer_report& report)
 {
     foreign_.on_peer_report(entry, report);
     if (report.config_version > store_.current().version())
-        peers_.fetch_configuration(entry, store_.current(),
-                                   [this](const configuration& newer)
-                                   { store_.offer(newer); });
+        peers_.pull(entry, store_.current(),
+                    [this](const configuration& newer)
+                    { store_.offer(newer); });
 }
 
-void control_plane::pull_from_agents()
+void control_plane::fetch_configuration_from_agents()
 {
-    if (pulling_)
+    if (is_fetching_configuration_)
         return;
-    pulling_ = true;
+    is_fetching_configuration_ = true;
     // An agent that an earlier start of ours had told more than we know now
     // has the configuration that a store that is away cannot give.
-    using newest = std::pair<std::uint64_t, std::string>;
-    shards_.gather<newest>(
+    using agent_version = std::pair<std::uint64_t, std::string>;
+    shards_.gather<agent_version>(
         [](shard& one) { return one.links().newest_agent(); },
-        [this](const std::vector<newest>& all)
+        [this](const std::vector<agent_version>& all)
         {
-            pulling_ = false;
-            const auto best = *std::max_element(all.begin(), all.end());
-            const auto* agent = members_.find(best.second);
-            if (!agent || best.first <= store_.current().version())
+            is_fetching_configuration_ = false;
+            const auto newest_agent_version =
+                *std::max_element(all.begin(), all.end());
+            const auto* agent = members_.find(newest_agent_version.second);
+            if (!agent ||
+                newest_agent_version.first <= store_.current().version())
                 return;
-            agents_.fetch_configuration(*agent, store_.current(),
-                                        [this](const configuration& newer)
-                                        { store_.offer(newer); });
+            agents_.pull(*agent, store_.current(),
+                         [this](const configuration& newer)
+                         { store_.offer(newer); });
         });
 }
 
-double control_plane::quota_of(const std::string& team) const
+double control_plane::quota_rate(const std::string& team) const
 {
     const auto* row = store_.current().find(row_key(row_kind::quota, team));
     return row ? std::strtod(row->value.c_str(), nullptr)
-               : std::max(settings_in_force().default_team_quota, 0.0);
+               : std::max(effective_settings().default_team_quota, 0.0);
 }
 
-void control_plane::spread_quotas()
+void control_plane::distribute_quota_shares()
 {
     shards_.gather<shard_demand>(
         [](shard& one)
         { return one.jobs().quota().demand(process_clock().now()); },
         [this](const std::vector<shard_demand>& all)
         {
-            std::map<std::string, double> own;
+            std::map<std::string, double> own_demand;
             for (const auto& one : all)
             {
                 for (const auto& [team, rate] : one)
-                    own[team] += rate;
+                    own_demand[team] += rate;
             }
             peer_report report;
             report.incarnation = settings_.incarnation;
             report.config_version = store_.current().version();
-            report.stopping = stopping_;
-            report.heir = heir_;
+            report.stopping = is_stopping_;
+            report.holder = holder_;
             const std::size_t entries = peers_.reachable().size() + 1;
-            for (const auto& [team, rate] : own)
+            for (const auto& [team, rate] : own_demand)
             {
-                if (rate > demand_floor(quota_of(team), entries))
+                if (rate > demand_floor(quota_rate(team), entries))
                     report.demand.push_back({team, rate});
             }
-            peers_.set_own(report);
+            peers_.set_own_report(report);
 
             const auto others = peers_.demand();
             std::vector<std::map<std::string, double>> shares(all.size());
@@ -379,14 +384,15 @@
                 for (const auto& [team, rate] : all[i])
                 {
                     const auto known = others.find(team);
-                    const double floor = demand_floor(quota_of(team), entries);
-                    const double share = quota_share(own[team],
+                    const double floor =
+                        demand_floor(quota_rate(team), entries);
+                    const double share = quota_share(own_demand[team],
                                                      known == others.end()
                                                          ? std::vector<double>{}
                                                          : known->second,
                                                      entries, floor);
                     const double part =
-                        quota_share(rate, {own[team] - rate}, all.size(),
+                        quota_share(rate, {own_demand[team] - rate}, all.size(),
                                     floor / static_cast<double>(all.size()));
                     shares[i][team] = share * part;
                 }
@@ -396,19 +402,20 @@
             for (std::size_t i = 0; i < all.size(); ++i)
             {
                 shards_.at(i).post(
-                    [mine = std::move(shares[i]), fallback](shard& one)
+                    [local_shares = std::move(shares[i]), fallback](shard& one)
                     {
                         auto& quota = one.jobs().quota();
                         quota.set_default_share(fallback);
-                        for (const auto& [team, share] : mine)
+                        for (const auto& [team, share] : local_shares)
                             quota.set_share(team, share);
                     });
             }
         });
 }
 
-void control_plane::note(decision_kind kind, reason why, std::string runner,
-                         std::string by, std::string detail)
+void control_plane::record_decision(decision_kind kind, reason why,
+                                    std::string runner, std::string by,
+                                    std::string detail)
 {
     report_line line;
     line.wall = wall_nanoseconds();
@@ -421,9 +428,10 @@
     report_.add(std::move(line));
 }
 
-void control_plane::collect_notables()
+void control_plane::collect_notable_decisions()
 {
-    shards_.gather<night_report>([](shard& one) { return one.take_notables(); },
+    shards_.gather<night_report>([](shard& one)
+                                 { return one.take_notable_decisions(); },
                                  [this](const std::vector<night_report>& all)
                                  {
                                      for (const auto& one : all)
@@ -442,16 +450,16 @@
 
 void control_plane::write_report(std::function<void()> done)
 {
-    if (writing_report_ || report_.empty())
+    if (is_writing_report_ || report_.empty())
         return done();
-    writing_report_ = true;
+    is_writing_report_ = true;
     const auto name = report_prefix(settings_.entry, settings_.incarnation) +
-                      std::to_string(++report_number_);
+                      std::to_string(++last_report_number_);
     platform_.put_object(
         name, report_.take_batch(),
         [this, done = std::move(done)](platform_outcome outcome)
         {
-            writing_report_ = false;
+            is_writing_report_ = false;
             // A repeat of a batch whose answer was lost goes
             // under a new name; a line twice does no harm.
             if (outcome == platform_outcome::done)
@@ -464,21 +472,21 @@
 
 void control_plane::announce_stop()
 {
-    stopping_ = true;
+    is_stopping_ = true;
     peer_report report;
     report.incarnation = settings_.incarnation;
     report.config_version = store_.current().version();
     report.stopping = true;
-    report.heir = heir_;
-    peers_.set_own(report);
+    report.holder = holder_;
+    peers_.set_own_report(report);
     peers_.announce();
 }
 
-void control_plane::hand_over(std::function<void()> done)
+void control_plane::hand_over_answers(std::function<void()> done)
 {
     const auto finish = [this, done = std::move(done)]
     {
-        collect_notables();
+        collect_notable_decisions();
         // The lines collected above come through the shards' threads first.
         shards_.gather<bool>([](shard&) { return true; },
                              [this, done](const std::vector<bool>&)
@@ -487,12 +495,12 @@
     const auto others = peers_.reachable();
     if (others.empty())
         return finish();
-    const auto heir =
+    const auto holder =
         rendezvous_order(std::to_string(settings_.incarnation), others).front();
     using answers = std::vector<coordinator::kept_answer>;
     shards_.gather<answers>(
         [](shard& one) { return one.jobs().kept_answers(); },
-        [this, heir, finish](std::vector<answers> all)
+        [this, holder, finish](std::vector<answers> all)
         {
             answers joined;
             for (auto& one : all)
@@ -500,41 +508,43 @@
                               std::make_move_iterator(one.begin()),
                               std::make_move_iterator(one.end()));
             const auto count = joined.size();
-            send_answers(heir, std::move(joined),
-                         [this, heir, count, finish]
+            send_answers(holder, std::move(joined),
+                         [this, holder, count, finish]
                          {
-                             heir_ = heir;
-                             log_change(log_level::info, "answers_handed_over",
-                                        {{"heir", heir}, {"answers", count}});
+                             holder_ = holder;
+                             log_change(
+                                 log_level::info, "answers_handed_over",
+                                 {{"holder", holder}, {"answers", count}});
                              announce_stop();
                              finish();
                          });
         });
 }
 
-void control_plane::send_answers(const std::string& heir,
+void control_plane::send_answers(const std::string& holder,
                                  std::vector<coordinator::kept_answer> answers,
                                  std::function<void()> done)
 {
     std::vector<coordinator::kept_answer> part;
     std::size_t bytes = 0;
-    while (!answers.empty() && bytes < handover_bytes)
+    while (!answers.empty() && bytes < max_handover_message_bytes)
     {
         bytes += answers.back().answer.body.size();
         part.push_back(std::move(answers.back()));
         answers.pop_back();
     }
-    peers_.keep(heir, settings_.incarnation, part,
-                [this, heir, rest = std::move(answers),
-                 done = std::move(done)](bool arrived) mutable
-                {
-                    if (!arrived)
-                        log_change(log_level::warning, "handover_failed",
-                                   {{"heir", heir}});
-                    if (!arrived || rest.empty())
-                        return done();
-                    send_answers(heir, std::move(rest), std::move(done));
-                });
+    peers_.send_kept_answers(
+        holder, settings_.incarnation, part,
+        [this, holder, remaining = std::move(answers),
+         done = std::move(done)](bool arrived) mutable
+        {
+            if (!arrived)
+                log_change(log_level::warning, "handover_failed",
+                           {{"holder", holder}});
+            if (!arrived || remaining.empty())
+                return done();
+            send_answers(holder, std::move(remaining), std::move(done));
+        });
 }
 
 void control_plane::collect(metric_page& page) const
--- a/src/glenhollow/entry/control_plane.hpp
+++ b/src/glenhollow/entry/control_plane.hpp
@@ -29,15 +29,16 @@
 /// Settings of the control thread of an entry.
 struct control_plane_settings
 {
-    std::string entry = "entry";        ///< Its name.
-    std::string hall = "hall";          ///< Where it stands.
-    std::uint64_t incarnation = 0;      ///< Its start.
-    platform_client_settings platform;  ///< Use of the platform.
-    std::vector<host_port> seeds;       ///< Entries to ask for members.
-    link_subset_settings subset;        ///< Limits of links.
-    std::string defaults;               ///< Statements in force without rows.
-    duration poll = seconds{1};         ///< Of head row and VM list, in change.
-    duration longest_poll = seconds{5}; ///< The same while nothing changes.
+    std::string entry = "entry";       ///< Its name.
+    std::string hall = "hall";         ///< Where it stands.
+    std::uint64_t incarnation = 0;     ///< Its start.
+    platform_client_settings platform; ///< Use of the platform.
+    std::vector<host_port> seeds;      ///< Entries to ask for members.
+    link_subset_settings subset;       ///< Limits of links.
+    std::string defaults;              ///< Statements in force without rows.
+    duration poll = seconds{1};        ///< Of head row and VM list, in change.
+    duration max_poll_interval =
+        seconds{5};                     ///< The same while nothing changes.
     duration report = seconds{60};      ///< Between writes of the report.
     night_report_settings night_report; ///< Its limits.
 };
@@ -57,7 +58,7 @@
 
     /// Adds the periodic parts to the tree.
     /// @param parent Their supervisor.
-    void add_children(supervisor& parent);
+    void add_periodic_tasks(supervisor& parent);
 
     /// Begins; called inside the rpc_loop.
     void start();
@@ -71,7 +72,8 @@
     /// Takes what another entry reported.
     /// @param entry Its name.
     /// @param report What it reported.
-    void take_report(const std::string& entry, const peer_report& report);
+    void handle_peer_report(const std::string& entry,
+                            const peer_report& report);
 
     /// @return Our name.
     const std::string& entry() const { return settings_.entry; }
@@ -110,12 +112,13 @@
     const tuning& defaults() const { return defaults_; }
 
     /// @return The settings in force.
-    tuning settings_in_force() const;
+    tuning effective_settings() const;
 
     /// @param handler Told of each newer configuration.
-    void on_configured(std::function<void(const configuration&)> handler)
+    void
+    on_configuration_changed(std::function<void(const configuration&)> handler)
     {
-        configured_ = std::move(handler);
+        configuration_handler_ = std::move(handler);
     }
 
     /// Adds a line to the night report.
@@ -124,12 +127,12 @@
     /// @param runner Which runner, may be empty.
     /// @param by Which operator, may be empty.
     /// @param detail May be empty.
-    void note(decision_kind kind, reason why, std::string runner,
-              std::string by, std::string detail);
+    void record_decision(decision_kind kind, reason why, std::string runner,
+                         std::string by, std::string detail);
 
     /// Begins a planned stop: peers are told, answers handed over.
     /// @param done Called when all is handed over.
-    void hand_over(std::function<void()> done);
+    void hand_over_answers(std::function<void()> done);
 
     /// Tells peers that no new jobs are taken here.
     void announce_stop();
@@ -147,18 +150,18 @@
 
 private:
     void poll();
-    void take_members();
-    void take_configuration(const configuration& newer);
+    void apply_members();
+    void apply_configuration(const configuration& newer);
     void apply_drains();
-    void tell_leaving();
-    void spread_quotas();
-    double quota_of(const std::string& team) const;
-    void collect_notables();
-    void send_answers(const std::string& heir,
+    void notify_leaving_agents();
+    void distribute_quota_shares();
+    double quota_rate(const std::string& team) const;
+    void collect_notable_decisions();
+    void send_answers(const std::string& holder,
                       std::vector<coordinator::kept_answer> answers,
                       std::function<void()> done);
-    void learn_from_seeds();
-    void pull_from_agents();
+    void request_members_from_seeds();
+    void fetch_configuration_from_agents();
 
     boost::asio::io_context& io_;     ///< The control thread's context.
     shard_group& shards_;             ///< The traffic threads.
@@ -172,17 +175,19 @@
     foreign_jobs foreign_;            ///< Others' submissions.
     night_report report_;             ///< For the object store.
     waste_history waste_;             ///< Over time.
-    std::function<void(const configuration&)> configured_; ///< May be empty.
-    std::uint64_t vm_revision_ = 0;                        ///< Of the VM list.
-    std::uint64_t report_number_ = 0;    ///< Of the next object.
-    bool writing_report_ = false;        ///< A write is under way.
-    instant next_poll_{};                ///< When the platform is asked next.
-    duration poll_pause_ = seconds{1};   ///< Until the poll after that.
-    bool stopping_ = false;              ///< A planned stop has begun.
-    bool pulling_ = false;               ///< A pull from an agent is under way.
-    std::string heir_;                   ///< Who has our answers.
-    std::set<std::string> told_leaving_; ///< Agents told that they leave.
-    std::uint64_t quota_messages_ = 0;   ///< Spreads of quotas.
+    std::function<void(const configuration&)>
+        configuration_handler_;            ///< May be empty.
+    std::uint64_t vm_revision_ = 0;        ///< Of the VM list.
+    std::uint64_t last_report_number_ = 0; ///< Of the next object.
+    bool is_writing_report_ = false;       ///< A write is under way.
+    instant next_poll_{};                  ///< When the platform is asked next.
+    duration poll_interval_ = seconds{1};  ///< Until the poll after that.
+    bool is_stopping_ = false;             ///< A planned stop has begun.
+    bool is_fetching_configuration_ =
+        false;           ///< A pull from an agent is under way.
+    std::string holder_; ///< Who has our answers.
+    std::set<std::string> notified_leaving_; ///< Agents told that they leave.
+    std::uint64_t quota_messages_ = 0;       ///< Spreads of quotas.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/entry_node.cpp
+++ b/src/glenhollow/entry/entry_node.cpp
@@ -31,31 +31,31 @@
 
 /// How long readyz says 503 before an idle entry stops listening, so that the
 /// balancer has seen it.
-constexpr duration stop_linger = seconds{1};
+constexpr duration unready_period = seconds{1};
 constexpr duration stop_check_interval = milliseconds{20};
 constexpr duration fence_check_interval = milliseconds{200};
 
 /// Exit status of an entry whose jobs another entry has adopted.
-constexpr int exit_fenced = 3;
+constexpr int exit_status_fenced = 3;
 
 /// What traffic threads read of the configuration; replaced as a whole.
-struct caller_rules
+struct caller_policy
 {
     job_limits limits;                         ///< Of jobs.
     std::map<std::string, std::string> tokens; ///< Hashes by team.
 };
 
-job_limits limits_of(const tuning& values)
+job_limits make_job_limits(const tuning& values)
 {
-    const auto length = [](double s)
+    const auto to_duration = [](double s)
     {
         return std::chrono::duration_cast<duration>(
             std::chrono::duration<double>(s));
     };
     job_limits limits;
     limits.max_tasks = static_cast<std::size_t>(values.max_tasks);
-    limits.max_deadline = length(values.longest_deadline_s);
-    limits.default_deadline = length(values.usual_deadline_s);
+    limits.max_deadline = to_duration(values.longest_deadline_s);
+    limits.default_deadline = to_duration(values.usual_deadline_s);
     return limits;
 }
 
@@ -82,9 +82,9 @@
     std::unique_ptr<control_plane> plane;        ///< On the control thread.
     std::unique_ptr<operator_service> operators; ///< On the control thread.
     std::atomic<bool> is_stopping{false};        ///< A planned stop has begun.
-    std::atomic<std::shared_ptr<const caller_rules>> rules{
-        std::make_shared<const caller_rules>()}; ///< For traffic threads.
-    int exit_status = 0;                         ///< Of the process.
+    std::atomic<std::shared_ptr<const caller_policy>> policy{
+        std::make_shared<const caller_policy>()}; ///< For traffic threads.
+    int exit_status = 0;                          ///< Of the process.
 
     result<void> listen()
     {
@@ -100,29 +100,30 @@
                           rpc_listener::create(control.io(), settings.address,
                                                settings.rpc_port));
         listener = std::move(links);
-        std::vector<std::unique_ptr<shard>> made;
+        std::vector<std::unique_ptr<shard>> created;
         std::uint16_t port = settings.http_port;
         for (std::uint32_t i = 0; i < settings.threads; ++i)
         {
             BOOST_OUTCOME_TRY(auto one, make_shard(i, port));
             port = one->port();
-            made.push_back(std::move(one));
+            created.push_back(std::move(one));
         }
-        shards = std::make_unique<shard_group>(std::move(made), control.io());
+        shards =
+            std::make_unique<shard_group>(std::move(created), control.io());
         control_plane_settings limits;
         limits.entry = settings.name;
         limits.hall = settings.hall;
         limits.incarnation = incarnation;
         limits.platform.server = settings.platform;
-        limits.platform.reads_per_second = settings.platform_reads;
-        limits.platform.writes_per_second = settings.platform_writes;
+        limits.platform.reads_per_second = settings.platform_reads_per_s;
+        limits.platform.writes_per_second = settings.platform_writes_per_s;
         limits.seeds = settings.seeds;
         limits.subset = {settings.own_hall_links, settings.other_hall_links};
         limits.defaults = settings.defaults;
         limits.report = settings.report;
         plane = std::make_unique<control_plane>(control.io(), *shards, limits);
-        plane->on_configured([this](const configuration& newer)
-                             { take_rules(newer); });
+        plane->on_configuration_changed([this](const configuration& newer)
+                                        { update_caller_policy(newer); });
         operators = std::make_unique<operator_service>(*plane, *this);
         return write_port_file(settings.port_file, {port, listener->port()});
     }
@@ -149,16 +150,16 @@
         return shard::create(limits, *this, spans.get());
     }
 
-    void take_rules(const configuration& newer)
+    void update_caller_policy(const configuration& newer)
     {
-        auto fresh = std::make_shared<caller_rules>();
-        fresh->limits = limits_of(newer.settings(plane->defaults()));
+        auto new_policy = std::make_shared<caller_policy>();
+        new_policy->limits = make_job_limits(newer.settings(plane->defaults()));
         for (const auto& [team, row] : newer.rows_of(row_kind::token))
-            fresh->tokens.emplace(team, row.value);
-        rules = std::move(fresh);
+            new_policy->tokens.emplace(team, row.value);
+        policy = std::move(new_policy);
     }
 
-    void build_tree()
+    void build_supervision_tree()
     {
         auto traffic = std::make_unique<supervisor>("traffic", control.io());
         for (std::size_t i = 0; i < shards->size(); ++i)
@@ -170,13 +171,15 @@
                          restart_policy::escalate);
         }
         root.add(std::move(traffic), restart_policy::escalate);
-        auto parts = std::make_unique<supervisor>("control", control.io());
-        plane->add_children(*parts);
-        parts->add(std::make_unique<periodic_task>("fence_watch", control.io(),
-                                                   fence_check_interval,
-                                                   [this] { watch_fence(); }),
-                   restart_policy::restart);
-        root.add(std::move(parts), restart_policy::escalate);
+        auto control_tasks =
+            std::make_unique<supervisor>("control", control.io());
+        plane->add_periodic_tasks(*control_tasks);
+        control_tasks->add(
+            std::make_unique<periodic_task>("fence_watch", control.io(),
+                                            fence_check_interval,
+                                            [this] { check_fencing(); }),
+            restart_policy::restart);
+        root.add(std::move(control_tasks), restart_policy::escalate);
     }
 
     // entry_backend
@@ -185,11 +188,11 @@
     {
         // A traffic thread mints for itself: no lock, and the job stays on
         // the thread that has its caller.
-        auto* here = shard::current();
-        assert(here);
+        auto* local_shard = shard::current();
+        assert(local_shard);
         std::vector<submission_id> ids;
         for (std::size_t i = 0; i < count; ++i)
-            ids.push_back(here->jobs().issue_id());
+            ids.push_back(local_shard->jobs().issue_id());
         return ids;
     }
 
@@ -211,7 +214,7 @@
         }
         auto shared = std::make_shared<routed_job>(std::move(job));
         shards->owner_of(shared->id.sequence)
-            .run_here(
+            .run_or_post(
                 [shared, done = std::move(done)](shard& owner)
                 {
                     owner.jobs().submit(
@@ -234,8 +237,8 @@
             return;
         }
         shards->owner_of(id.sequence)
-            .run_here([id, done = std::move(done)](shard& owner)
-                      { done(owner.jobs().lookup(id.sequence)); });
+            .run_or_post([id, done = std::move(done)](shard& owner)
+                         { done(owner.jobs().lookup(id.sequence)); });
     }
 
     void operate(std::string statement, std::string by,
@@ -244,8 +247,8 @@
         asio::post(control.io(),
                    [this, statement = std::move(statement), by = std::move(by),
                     done = std::move(done)] {
-                       operators->run(statement, by, statement_scope::everyone,
-                                      done);
+                       operators->run(statement, by,
+                                      statement_scope::all_entries, done);
                    });
     }
 
@@ -281,7 +284,7 @@
 
     bool stopping() const override { return is_stopping; }
 
-    job_limits limits() const override { return rules.load()->limits; }
+    job_limits limits() const override { return policy.load()->limits; }
 
     std::optional<std::string>
     authenticate_operator(std::string_view authorization) const override
@@ -292,7 +295,7 @@
     bool may_use_team(const std::string& team,
                       std::string_view authorization) const override
     {
-        const auto current = rules.load();
+        const auto current = policy.load();
         const auto known = current->tokens.find(team);
         return known == current->tokens.end() ||
                token_matches(bearer_token(authorization), known->second);
@@ -308,19 +311,19 @@
             [this](boost::system::error_code ec, int)
             {
                 if (!ec)
-                    stop_planned(0);
+                    begin_planned_stop(0);
             });
     }
 
-    void stop_planned(int status)
+    void begin_planned_stop(int status)
     {
         if (is_stopping.exchange(true))
             return;
         exit_status = status;
         log_change(log_level::info, "stop_begun", {{"entry", settings.name}});
         plane->announce_stop();
-        shards->for_all([](shard& one) { one.jobs().stop_accepting(); });
-        wait_for_idle(process_clock().now() + stop_linger);
+        shards->post_to_all([](shard& one) { one.jobs().stop_accepting(); });
+        wait_for_idle(process_clock().now() + unready_period);
     }
 
     void wait_for_idle(instant not_before)
@@ -336,14 +339,15 @@
                 const bool all_idle = std::all_of(idle.begin(), idle.end(),
                                                   [](bool one) { return one; });
                 if (all_idle && process_clock().now() >= not_before)
-                    return plane->hand_over([this] { last_callers(); });
+                    return plane->hand_over_answers(
+                        [this] { finish_late_requests(); });
                 run_after(control.io(), stop_check_interval,
                           [this, not_before] { wait_for_idle(not_before); });
             });
     }
 
     /// Answers who came during the handover, then ends.
-    void last_callers()
+    void finish_late_requests()
     {
         shards->gather<bool>(
             [](shard& one)
@@ -358,11 +362,11 @@
                 if (all_idle)
                     return end();
                 run_after(control.io(), stop_check_interval,
-                          [this] { last_callers(); });
+                          [this] { finish_late_requests(); });
             });
     }
 
-    void watch_fence()
+    void check_fencing()
     {
         shards->gather<bool>(
             [](shard& one) { return one.jobs().fenced(); },
@@ -374,7 +378,7 @@
                     return;
                 log_change(log_level::error, "fenced_by_adoption",
                            {{"entry", settings.name}});
-                stop_planned(exit_fenced);
+                begin_planned_stop(exit_status_fenced);
             });
     }
 
@@ -386,7 +390,7 @@
 
     int run()
     {
-        build_tree();
+        build_supervision_tree();
         await_signal();
         control.run(
             [this]
@@ -432,9 +436,9 @@
 {
     BOOST_OUTCOME_TRY(auto tokens,
                       operator_tokens::parse(settings.operator_tokens));
-    auto made = std::make_unique<state>(settings, std::move(tokens));
-    BOOST_OUTCOME_TRYV(made->listen());
-    return std::unique_ptr<entry_node>(new entry_node(std::move(made)));
+    auto created = std::make_unique<state>(settings, std::move(tokens));
+    BOOST_OUTCOME_TRYV(created->listen());
+    return std::unique_ptr<entry_node>(new entry_node(std::move(created)));
 }
 
 int entry_node::run()
--- a/src/glenhollow/entry/entry_node.hpp
+++ b/src/glenhollow/entry/entry_node.hpp
@@ -35,8 +35,8 @@
     std::size_t own_hall_links = 4;   ///< Entries a runner has in its hall.
     std::size_t other_hall_links = 2; ///< Entries it has in other halls.
     duration report = seconds{60};    ///< Between writes of the report.
-    double platform_reads = 6;        ///< A second, at most.
-    double platform_writes = 2;       ///< A second, at most.
+    double platform_reads_per_s = 6;  ///< A second, at most.
+    double platform_writes_per_s = 2; ///< A second, at most.
 };
 
 /// One entry process: a control thread and traffic threads.
--- a/src/glenhollow/entry/foreign_jobs.cpp
+++ b/src/glenhollow/entry/foreign_jobs.cpp
@@ -301,8 +301,8 @@
 
 void foreign_jobs::on_peer_report(const std::string&, const peer_report& report)
 {
-    if (report.stopping && !report.heir.empty())
-        holders_[report.incarnation] = report.heir;
+    if (report.stopping && !report.holder.empty())
+        holders_[report.incarnation] = report.holder;
 }
 
 void foreign_jobs::tick()
--- a/src/glenhollow/entry/operator_service.cpp
+++ b/src/glenhollow/entry/operator_service.cpp
@@ -25,13 +25,13 @@
 namespace
 {
 
-constexpr std::size_t most_job_rows = 1000;
+constexpr std::size_t max_job_rows = 1000;
 
-constexpr double least_quota = 0;
-constexpr double most_quota = 1e6;
-constexpr double least_weight = 0.01;
-constexpr double most_weight = 1000;
-constexpr std::size_t most_created_tasks = 1000;
+constexpr double min_quota = 0;
+constexpr double max_quota = 1e6;
+constexpr double min_weight = 0.01;
+constexpr double max_weight = 1000;
+constexpr std::size_t max_created_tasks = 1000;
 
 std::string hex_text(std::uint64_t number)
 {
@@ -41,19 +41,19 @@
     return hex.data();
 }
 
-double in_ms(duration length)
+double to_milliseconds(duration length)
 {
     return std::chrono::duration<double, std::milli>(length).count();
 }
 
-api_problem bad_range(const std::string& field, const std::string& range)
+api_problem range_problem(const std::string& field, const std::string& range)
 {
     return {400, reason::malformed, field + " must be " + range};
 }
 
 } // namespace
 
-std::string wall_text(std::int64_t nanoseconds)
+std::string format_utc(std::int64_t nanoseconds)
 {
     constexpr std::int64_t per_second = 1'000'000'000;
     const std::time_t whole = nanoseconds / per_second;
@@ -98,31 +98,32 @@
 void operator_service::execute(const show_statement& show,
                                const context_ptr& on)
 {
-    static const std::map<show_target, row_merge> merges{
+    static const std::map<show_target, row_merge_rules> merge_rules{
         {show_target::runners, {"name", {"in_flight", "started", "refused"}}},
         {show_target::entries, {"", {}}},
         {show_target::teams, {"name", {"in_use"}, true}},
         {show_target::jobs, {"", {}}}};
-    const auto finish = [on, show](row_table rows)
+    const auto answer_rows = [on, show](row_table rows)
     {
-        const auto kept = rows.filter(show.where);
-        if (!kept)
-            return on->refuse(kept.error());
+        const auto filtered = rows.filter(show.where);
+        if (!filtered)
+            return on->refuse(filtered.error());
         on->done(rows.to_answer());
     };
     local_rows(show.target,
-               [this, on, show, finish](row_table own)
+               [this, on, show, answer_rows](row_table own)
                {
-                   const auto how = merges.find(show.target);
-                   if (how == merges.end())
-                       return finish(std::move(own));
-                   join_peers(on, std::move(own), how->second, finish);
+                   const auto rules = merge_rules.find(show.target);
+                   if (rules == merge_rules.end())
+                       return answer_rows(std::move(own));
+                   merge_peer_rows(on, std::move(own), rules->second,
+                                   answer_rows);
                });
 }
 
-void operator_service::join_peers(const context_ptr& on, row_table own,
-                                  const row_merge& how,
-                                  std::function<void(row_table)> done)
+void operator_service::merge_peer_rows(const context_ptr& on, row_table own,
+                                       const row_merge_rules& rules,
+                                       std::function<void(row_table)> done)
 {
     const auto peers = plane_.peers().reachable();
     if (on->scope == statement_scope::this_entry || peers.empty())
@@ -130,7 +131,7 @@
     struct collection
     {
         row_table rows;
-        std::size_t open;
+        std::size_t pending;
     };
     auto all =
         std::make_shared<collection>(collection{std::move(own), peers.size()});
@@ -141,11 +142,11 @@
     {
         plane_.peers().operate(
             peer, text, on->by,
-            [all, how, done](std::optional<job_answer> answer)
+            [all, rules, done](std::optional<job_answer> answer)
             {
                 if (answer)
-                    all->rows.merge(*answer, how);
-                if (--all->open > 0)
+                    all->rows.merge(*answer, rules);
+                if (--all->pending > 0)
                     return;
                 all->rows.sort_by("name");
                 done(std::move(all->rows));
@@ -173,7 +174,7 @@
     row_table rows;
     if (target == show_target::settings)
     {
-        const auto values = plane_.settings_in_force();
+        const auto values = plane_.effective_settings();
         for (const auto& setting : setting_table())
             rows.add({{"name", setting.name},
                       {"value", value_text(setting, values)},
@@ -190,7 +191,7 @@
                   {"value", secret ? "(hidden)" : row.value},
                   {"version", row.version},
                   {"by", row.by},
-                  {"when", wall_text(row.when * 1'000'000'000)}});
+                  {"when", format_utc(row.when * 1'000'000'000)}});
     }
     done(std::move(rows));
 }
@@ -207,8 +208,8 @@
             {
                 for (const auto& row : rows)
                 {
-                    auto [known, fresh] = joined.try_emplace(row.name, row);
-                    if (fresh)
+                    auto [known, inserted] = joined.try_emplace(row.name, row);
+                    if (inserted)
                         continue;
                     known->second.in_flight += row.in_flight;
                     known->second.started += row.started;
@@ -296,7 +297,7 @@
         {
             const auto& config = plane_.store().current();
             const double fallback =
-                plane_.settings_in_force().default_team_quota;
+                plane_.effective_settings().default_team_quota;
             row_table rows;
             for (std::size_t i = 0; i < names.size(); ++i)
             {
@@ -331,20 +332,21 @@
 {
     using job_rows = std::vector<job_row>;
     plane_.shards().gather<job_rows>(
-        [](shard& one) { return one.jobs().job_rows(most_job_rows); },
+        [](shard& one) { return one.jobs().job_rows(max_job_rows); },
         [done](const std::vector<job_rows>& all)
         {
             row_table rows;
-            for (const auto& some : all)
+            for (const auto& shard_rows : all)
             {
-                for (const auto& row : some)
-                    rows.add({{"name", row.id},
-                              {"team", row.team},
-                              {"state", row.state},
-                              {"tasks", row.tasks},
-                              {"done", row.done},
-                              {"waiting", row.waiting},
-                              {"age_ms", rounded(in_ms(row.age), 0)}});
+                for (const auto& row : shard_rows)
+                    rows.add(
+                        {{"name", row.id},
+                         {"team", row.team},
+                         {"state", row.state},
+                         {"tasks", row.tasks},
+                         {"done", row.done},
+                         {"waiting", row.waiting},
+                         {"age_ms", rounded(to_milliseconds(row.age), 0)}});
             }
             done(std::move(rows));
         });
@@ -365,8 +367,9 @@
                        {{"by", on->by},
                         {"statement", told},
                         {"answer", answer.text()}});
-            plane_.note(decision_kind::changed, reason::operator_command, "",
-                        on->by, told + ": " + answer.text());
+            plane_.record_decision(decision_kind::changed,
+                                   reason::operator_command, "", on->by,
+                                   told + ": " + answer.text());
             json::object row{{"answer", answer.text()},
                              {"state", to_name(answer.state)},
                              {"change", answer.id}};
@@ -374,12 +377,11 @@
                 row["version"] = answer.version;
             row_table table;
             table.add(std::move(row));
-            auto told_answer = table.to_answer();
+            auto reply = table.to_answer();
             if (answer.state == change_state::refused)
-                told_answer =
-                    api_problem{409, reason::body_conflict, answer.text()}
-                        .to_answer();
-            on->done(std::move(told_answer));
+                reply = api_problem{409, reason::body_conflict, answer.text()}
+                            .to_answer();
+            on->done(std::move(reply));
         });
 }
 
@@ -388,7 +390,7 @@
 {
     // The entry that took the change knows most about it.
     const auto owner = show.id.substr(0, show.id.find('.'));
-    if (owner != plane_.entry() && on->scope == statement_scope::everyone &&
+    if (owner != plane_.entry() && on->scope == statement_scope::all_entries &&
         plane_.peers().report_of(owner))
         return plane_.peers().operate(
             owner, on->text, on->by,
@@ -416,8 +418,9 @@
 void operator_service::execute(const set_quota_statement& set,
                                const context_ptr& on)
 {
-    if (set.quota < least_quota || set.quota > most_quota)
-        return on->refuse(bad_range("quota", "a number in 0..1000000 tasks/s"));
+    if (set.quota < min_quota || set.quota > max_quota)
+        return on->refuse(
+            range_problem("quota", "a number in 0..1000000 tasks/s"));
     std::ostringstream text;
     text << set.quota;
     change({{row_key(row_kind::quota, set.team), text.str()}}, on);
@@ -426,8 +429,8 @@
 void operator_service::execute(const set_weight_statement& set,
                                const context_ptr& on)
 {
-    if (set.weight < least_weight || set.weight > most_weight)
-        return on->refuse(bad_range("weight", "a number in 0.01..1000"));
+    if (set.weight < min_weight || set.weight > max_weight)
+        return on->refuse(range_problem("weight", "a number in 0.01..1000"));
     std::ostringstream text;
     text << set.weight;
     change({{row_key(row_kind::weight, set.team), text.str()}}, on);
@@ -436,9 +439,9 @@
 void operator_service::execute(const set_token_statement& set,
                                const context_ptr& on)
 {
-    constexpr std::size_t least_length = 8;
-    if (set.token.size() < least_length)
-        return on->refuse(bad_range("token", "8 characters or more"));
+    constexpr std::size_t min_token_length = 8;
+    if (set.token.size() < min_token_length)
+        return on->refuse(range_problem("token", "8 characters or more"));
     change({{row_key(row_kind::token, set.team), hash_token(set.token)}}, on);
 }
 
@@ -471,9 +474,9 @@
              "there is no setting '" + set.key + "'; there are " + names});
     }
     tuning scratch;
-    const auto fits = set_value(*setting, set.value, scratch);
-    if (!fits)
-        return on->refuse({400, reason::malformed, fits.error().text});
+    const auto is_valid = set_value(*setting, set.value, scratch);
+    if (!is_valid)
+        return on->refuse({400, reason::malformed, is_valid.error().text});
     change({{row_key(row_kind::setting, set.key), set.value}}, on);
 }
 
@@ -493,8 +496,8 @@
 void operator_service::execute(const create_job_statement& create,
                                const context_ptr& on)
 {
-    if (create.tasks < 1 || create.tasks > most_created_tasks)
-        return on->refuse(bad_range("tasks", "a whole number in 1..1000"));
+    if (create.tasks < 1 || create.tasks > max_created_tasks)
+        return on->refuse(range_problem("tasks", "a whole number in 1..1000"));
     json::array tasks;
     boost::system::error_code ec;
     const auto payload = json::parse(create.payload, ec);
@@ -512,11 +515,11 @@
     job->body = body;
     job->request = std::move(request.value());
     plane_.shards().at(0).post([this, on, job](shard&)
-                               { run_created(job, on); });
+                               { submit_created_job(job, on); });
 }
 
-void operator_service::run_created(const std::shared_ptr<routed_job>& job,
-                                   const context_ptr& on)
+void operator_service::submit_created_job(
+    const std::shared_ptr<routed_job>& job, const context_ptr& on)
 {
     job->id = backend_.issue_ids(1).front();
     const auto id = job->id;
@@ -541,13 +544,15 @@
         });
 }
 
-bool operator_service::to_minter(const submission_id& id, const context_ptr& on)
+bool operator_service::forward_to_issuer(const submission_id& id,
+                                         const context_ptr& on)
 {
     const auto* report = plane_.peers().report_of(id.entry);
-    const bool elsewhere = id.incarnation != plane_.incarnation() && report &&
-                           report->incarnation == id.incarnation &&
-                           on->scope == statement_scope::everyone;
-    if (!elsewhere)
+    const bool issued_elsewhere = id.incarnation != plane_.incarnation() &&
+                                  report &&
+                                  report->incarnation == id.incarnation &&
+                                  on->scope == statement_scope::all_entries;
+    if (!issued_elsewhere)
         return false;
     plane_.peers().operate(
         id.entry, on->text, on->by,
@@ -568,7 +573,7 @@
     if (!id)
         return on->refuse({400, reason::malformed,
                            "'" + cancel.id + "' is not a submission id"});
-    if (to_minter(*id, on))
+    if (forward_to_issuer(*id, on))
         return;
     if (id->incarnation != plane_.incarnation())
         return on->refuse({404, reason::unknown_submission,
--- a/src/glenhollow/entry/operator_service.hpp
+++ b/src/glenhollow/entry/operator_service.hpp
@@ -16,8 +16,8 @@
 /// Whom a statement asks.
 enum class statement_scope : std::uint8_t
 {
-    everyone,  ///< All entries, their rows joined.
-    this_entry ///< This one alone: it came from another entry.
+    all_entries, ///< All entries, their rows joined.
+    this_entry   ///< This one alone: it came from another entry.
 };
 
 /// Answers the operators' statements of one entry, on its control thread.
@@ -56,26 +56,28 @@
     void execute(const cancel_statement& cancel, const context_ptr& on);
     void execute(const help_statement& help, const context_ptr& on);
 
-    void run_created(const std::shared_ptr<routed_job>& job,
-                     const context_ptr& on);
+    void submit_created_job(const std::shared_ptr<routed_job>& job,
+                            const context_ptr& on);
     void local_rows(show_target target, std::function<void(row_table)> done);
     void show_runners(std::function<void(row_table)> done);
     void show_entries(std::function<void(row_table)> done);
     void show_teams(std::function<void(row_table)> done);
     void show_jobs(std::function<void(row_table)> done);
-    void join_peers(const context_ptr& on, row_table own, const row_merge& how,
-                    std::function<void(row_table)> done);
+    void merge_peer_rows(const context_ptr& on, row_table own,
+                         const row_merge_rules& rules,
+                         std::function<void(row_table)> done);
     void change(std::map<std::string, std::string> rows, const context_ptr& on);
-    bool to_minter(const submission_id& id, const context_ptr& on);
-    void explain_here(const why_statement& why, const submission_id& id,
-                      const context_ptr& on);
+    bool forward_to_issuer(const submission_id& id, const context_ptr& on);
+    void explain_locally(const why_statement& why, const submission_id& id,
+                         const context_ptr& on);
     void explain_drain(const std::string& runner, const context_ptr& on);
-    void explain_from_reports(const std::string& prefix, const context_ptr& on,
-                              row_table found,
-                              std::function<bool(const report_line&)> wanted);
+    void
+    explain_from_reports(const std::string& prefix, const context_ptr& on,
+                         row_table found,
+                         std::function<bool(const report_line&)> is_wanted);
     void read_reports(std::vector<std::string> names, const context_ptr& on,
                       std::shared_ptr<row_table> found,
-                      std::function<bool(const report_line&)> wanted);
+                      std::function<bool(const report_line&)> is_wanted);
 
     control_plane& plane_;   ///< The entry's control thread.
     entry_backend& backend_; ///< Runs jobs.
--- a/src/glenhollow/entry/operator_service_context.hpp
+++ b/src/glenhollow/entry/operator_service_context.hpp
@@ -23,7 +23,7 @@
 
 /// @param nanoseconds Since 1970.
 /// @return The time of day, in UTC, with milliseconds.
-std::string wall_text(std::int64_t nanoseconds);
+std::string format_utc(std::int64_t nanoseconds);
 
 } // namespace glenhollow
 
--- a/src/glenhollow/entry/operator_service_why.cpp
+++ b/src/glenhollow/entry/operator_service_why.cpp
@@ -14,11 +14,11 @@
 {
 
 /// Objects read for one question, newest last.
-constexpr std::size_t most_report_objects = 200;
+constexpr std::size_t max_report_objects = 200;
 
 json::object to_row(const report_line& line)
 {
-    json::object row{{"at", wall_text(line.wall)},
+    json::object row{{"at", format_utc(line.wall)},
                      {"entry", line.entry},
                      {"decision", to_name(line.kind)},
                      {"reason", to_name(line.why)},
@@ -31,7 +31,7 @@
 }
 
 /// One decision of a ring in words.
-std::string sentence(const decision_record& record, const std::string& runner)
+std::string describe(const decision_record& record, const std::string& runner)
 {
     const std::string why(to_name(record.why));
     const std::string ms = std::to_string(record.micros / 1000) + "." +
@@ -90,15 +90,15 @@
 }
 
 /// Whether a decision belongs to a question.
-bool belongs(const decision_record& record, const why_statement& why)
+bool is_relevant(const decision_record& record, const why_statement& why)
 {
-    const bool of_task = record.kind == decision_kind::placed ||
-                         record.kind == decision_kind::ended ||
-                         record.kind == decision_kind::retried;
+    const bool concerns_task = record.kind == decision_kind::placed ||
+                               record.kind == decision_kind::ended ||
+                               record.kind == decision_kind::retried;
     switch (why.target)
     {
     case why_target::task:
-        return !of_task || record.task == why.task;
+        return !concerns_task || record.task == why.task;
     case why_target::refused:
         return record.kind == decision_kind::refused;
     case why_target::failed:
@@ -106,18 +106,18 @@
         break;
     }
     // A failure is explained by all that ended badly.
-    return !of_task || record.what != verdict::ran ||
+    return !concerns_task || record.what != verdict::ran ||
            record.kind == decision_kind::retried;
 }
 
 json::object to_row(const named_record& one)
 {
-    return {{"at", wall_text(one.record.wall)},
+    return {{"at", format_utc(one.record.wall)},
             {"decision", to_name(one.record.kind)},
             {"reason", to_name(one.record.why)},
             {"verdict", to_name(one.record.what)},
             {"runner", one.runner},
-            {"text", sentence(one.record, one.runner)}};
+            {"text", describe(one.record, one.runner)}};
 }
 
 } // namespace
@@ -130,10 +130,10 @@
     if (!id)
         return on->refuse({400, reason::malformed,
                            "'" + why.subject + "' is not a submission id"});
-    if (to_minter(*id, on))
+    if (forward_to_issuer(*id, on))
         return;
     if (id->incarnation == plane_.incarnation())
-        return explain_here(why, *id, on);
+        return explain_locally(why, *id, on);
     // The entry is no more; what it decided against callers is kept.
     const auto subject = why.subject;
     explain_from_reports(
@@ -142,9 +142,9 @@
         { return line.submission == subject; });
 }
 
-void operator_service::explain_here(const why_statement& why,
-                                    const submission_id& id,
-                                    const context_ptr& on)
+void operator_service::explain_locally(const why_statement& why,
+                                       const submission_id& id,
+                                       const context_ptr& on)
 {
     plane_.shards()
         .owner_of(id.sequence)
@@ -154,7 +154,7 @@
                 row_table rows;
                 for (const auto& record : records_of(one, id.sequence))
                 {
-                    if (belongs(record.record, why))
+                    if (is_relevant(record.record, why))
                         rows.add(to_row(record));
                 }
                 if (rows.size() == 0)
@@ -172,7 +172,7 @@
     const auto* row =
         plane_.store().current().find(row_key(row_kind::drain, runner));
     if (row)
-        rows.add({{"at", wall_text(row->when * 1'000'000'000)},
+        rows.add({{"at", format_utc(row->when * 1'000'000'000)},
                   {"decision", "drained"},
                   {"reason", to_name(reason::operator_command)},
                   {"runner", runner},
@@ -181,7 +181,7 @@
                    "configuration version " + std::to_string(row->version)}});
     const auto* member = plane_.members().find(runner);
     if (member && member->state == member_state::leaving)
-        rows.add({{"at", wall_text(wall_nanoseconds())},
+        rows.add({{"at", format_utc(wall_nanoseconds())},
                   {"decision", "drained"},
                   {"reason", to_name(reason::leaving)},
                   {"runner", runner},
@@ -202,12 +202,12 @@
 
 void operator_service::explain_from_reports(
     const std::string& prefix, const context_ptr& on, row_table found,
-    std::function<bool(const report_line&)> wanted)
+    std::function<bool(const report_line&)> is_wanted)
 {
     auto rows = std::make_shared<row_table>(std::move(found));
     plane_.platform().list_objects(
         prefix,
-        [this, on, rows, wanted = std::move(wanted)](
+        [this, on, rows, is_wanted = std::move(is_wanted)](
             platform_outcome outcome, std::vector<std::string> names)
         {
             if (outcome != platform_outcome::done && rows->size() == 0)
@@ -215,16 +215,16 @@
                                    "the object store with the kept decisions "
                                    "is away",
                                    verdict::not_run, seconds{5}});
-            if (names.size() > most_report_objects)
-                names.erase(names.begin(), names.end() - most_report_objects);
-            read_reports(std::move(names), on, rows, wanted);
+            if (names.size() > max_report_objects)
+                names.erase(names.begin(), names.end() - max_report_objects);
+            read_reports(std::move(names), on, rows, is_wanted);
         });
 }
 
 void operator_service::read_reports(
     std::vector<std::string> names, const context_ptr& on,
     std::shared_ptr<row_table> found,
-    std::function<bool(const report_line&)> wanted)
+    std::function<bool(const report_line&)> is_wanted)
 {
     if (names.empty())
     {
@@ -236,27 +236,29 @@
     }
     const auto name = names.back();
     names.pop_back();
-    plane_.platform().read_object(
-        name,
-        [this, names = std::move(names), on, found,
-         wanted = std::move(wanted)](platform_outcome, std::string content)
-        {
-            std::istringstream lines(content);
-            std::string text;
-            while (std::getline(lines, text))
-            {
-                const auto line = report_line::from_json(text);
-                if (line && wanted(*line))
-                    found->add(to_row(*line));
-            }
-            read_reports(names, on, found, wanted);
-        });
+    plane_.platform().read_object(name,
+                                  [this, names = std::move(names), on, found,
+                                   is_wanted = std::move(is_wanted)](
+                                      platform_outcome, std::string content)
+                                  {
+                                      std::istringstream lines(content);
+                                      std::string text;
+                                      while (std::getline(lines, text))
+                                      {
+                                          const auto line =
+                                              report_line::from_json(text);
+                                          if (line && is_wanted(*line))
+                                              found->add(to_row(*line));
+                                      }
+                                      read_reports(names, on, found, is_wanted);
+                                  });
 }
 
 void operator_service::execute(const why_waste_statement& why,
                                const context_ptr& on)
 {
-    const auto counts = plane_.waste().within(process_clock().now(), why.since);
+    const auto counts =
+        plane_.waste().counts_within(process_clock().now(), why.since);
     row_table rows;
     for (std::size_t i = 0; i < counts.by_kind.size(); ++i)
     {
@@ -268,8 +270,9 @@
                   {"per_1000_tasks", rounded(share, 2)},
                   {"cause", waste_causes[i]}});
     }
-    join_peers(on, std::move(rows), {"name", {"messages", "per_1000_tasks"}},
-               [on](const row_table& all) { on->done(all.to_answer()); });
+    merge_peer_rows(on, std::move(rows),
+                    {"name", {"messages", "per_1000_tasks"}},
+                    [on](const row_table& all) { on->done(all.to_answer()); });
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/peer_links.cpp
+++ b/src/glenhollow/entry/peer_links.cpp
@@ -39,11 +39,11 @@
     bool connecting = false;      ///< A connection is being made.
     bool up = false;              ///< An exchange was answered.
     bool exchanging = false;      ///< One is under way.
-    std::shared_ptr<int> pending = std::make_shared<int>(0); ///< Calls.
-    instant exchanged{}; ///< When the last one left.
-    instant retry_at{};  ///< When to connect again.
-    duration backoff{};  ///< Before the next attempt.
-    peer_report report;  ///< The last one.
+    std::shared_ptr<int> pending_calls = std::make_shared<int>(0); ///< Calls.
+    instant last_exchange{}; ///< When the last one left.
+    instant retry_at{};      ///< When to connect again.
+    duration backoff{};      ///< Before the next attempt.
+    peer_report report;      ///< The last one.
 };
 
 peer_links::peer_links(boost::asio::io_context& io, const clock_source& clock,
@@ -56,105 +56,108 @@
 
 void peer_links::set_entries(const std::vector<member>& entries)
 {
-    std::map<std::string, const member*> wanted;
+    std::map<std::string, const member*> listed;
     for (const auto& one : entries)
     {
         if (one.name != settings_.entry)
-            wanted.emplace(one.name, &one);
+            listed.emplace(one.name, &one);
     }
     std::erase_if(links_,
                   [&](const auto& known)
                   {
-                      const auto still = wanted.find(known.first);
-                      return still == wanted.end() ||
-                             still->second->rpc.to_string() !=
+                      const auto listed_entry = listed.find(known.first);
+                      return listed_entry == listed.end() ||
+                             listed_entry->second->rpc.to_string() !=
                                  known.second->entry.rpc.to_string();
                   });
-    for (const auto& [name, one] : wanted)
+    for (const auto& [name, one] : listed)
     {
         if (links_.contains(name))
             continue;
-        auto fresh = std::make_unique<link>();
-        fresh->entry = *one;
-        fresh->backoff = settings_.first_backoff;
-        auto& added = *links_.emplace(name, std::move(fresh)).first->second;
+        auto new_link = std::make_unique<link>();
+        new_link->entry = *one;
+        new_link->backoff = settings_.initial_backoff;
+        auto& added = *links_.emplace(name, std::move(new_link)).first->second;
         connect(added);
     }
 }
 
-void peer_links::connect(link& to)
+void peer_links::connect(link& peer_link)
 {
-    to.connecting = true;
-    const auto generation = to.generation = ++generations_;
-    connect_rpc(io_, to.entry.rpc,
-                [this, name = to.entry.name, generation](connect_result got)
-                {
-                    const auto known = links_.find(name);
-                    if (known == links_.end() ||
-                        known->second->generation != generation)
-                        return;
-                    auto& to = *known->second;
-                    to.connecting = false;
-                    if (!got.socket)
-                        return broken(to, generation);
-                    connected(to, std::move(*got.socket));
-                });
+    peer_link.connecting = true;
+    const auto generation = peer_link.generation = ++last_generation_;
+    connect_rpc(
+        io_, peer_link.entry.rpc,
+        [this, name = peer_link.entry.name, generation](connect_result attempt)
+        {
+            const auto known = links_.find(name);
+            if (known == links_.end() ||
+                known->second->generation != generation)
+                return;
+            auto& peer_link = *known->second;
+            peer_link.connecting = false;
+            if (!attempt.socket)
+                return on_link_broken(peer_link, generation);
+            on_connected(peer_link, std::move(*attempt.socket));
+        });
 }
 
-void peer_links::connected(link& to, tcp::socket socket)
+void peer_links::on_connected(link& peer_link, tcp::socket socket)
 {
-    to.current = kj::heap<link::connection>(std::move(socket), bytes_);
-    const auto name = to.entry.name;
-    const auto generation = to.generation;
+    peer_link.current = kj::heap<link::connection>(std::move(socket), bytes_);
+    const auto name = peer_link.entry.name;
+    const auto generation = peer_link.generation;
     // An idle link has no call whose failure would tell.
-    to.current->calls.add(to.current->rpc.on_disconnect().then(
-        [this, name, generation] { lost(name, generation); }));
-    exchange(to);
+    peer_link.current->calls.add(peer_link.current->rpc.on_disconnect().then(
+        [this, name, generation] { on_disconnected(name, generation); }));
+    exchange(peer_link);
 }
 
-void peer_links::lost(const std::string& entry, std::uint64_t generation)
+void peer_links::on_disconnected(const std::string& entry,
+                                 std::uint64_t generation)
 {
     const auto known = links_.find(entry);
     if (known != links_.end())
-        broken(*known->second, generation);
+        on_link_broken(*known->second, generation);
 }
 
-void peer_links::broken(link& at, std::uint64_t generation)
+void peer_links::on_link_broken(link& peer_link, std::uint64_t generation)
 {
-    if (at.generation != generation)
+    if (peer_link.generation != generation)
         return;
-    if (at.up)
-        log_change(log_level::warning, "peer_down", {{"entry", at.entry.name}});
-    at.up = at.connecting = at.exchanging = false;
-    at.generation = ++generations_;
-    if (at.current)
+    if (peer_link.up)
+        log_change(log_level::warning, "peer_down",
+                   {{"entry", peer_link.entry.name}});
+    peer_link.up = peer_link.connecting = peer_link.exchanging = false;
+    peer_link.generation = ++last_generation_;
+    if (peer_link.current)
     {
-        auto old =
-            std::make_shared<kj::Own<link::connection>>(kj::mv(at.current));
+        auto old = std::make_shared<kj::Own<link::connection>>(
+            kj::mv(peer_link.current));
         boost::asio::post(io_, [old] { *old = nullptr; });
     }
-    at.retry_at = clock_.now() + at.backoff;
-    at.backoff = std::min(at.backoff * 2, settings_.longest_backoff);
+    peer_link.retry_at = clock_.now() + peer_link.backoff;
+    peer_link.backoff = std::min(peer_link.backoff * 2, settings_.max_backoff);
 }
 
-void peer_links::exchange(link& to)
+void peer_links::exchange(link& peer_link)
 {
-    if (to.exchanging || !to.current)
+    if (peer_link.exchanging || !peer_link.current)
         return;
-    to.exchanging = true;
-    to.exchanged = clock_.now();
+    peer_link.exchanging = true;
+    peer_link.last_exchange = clock_.now();
     stats_.exchanges += 2;
-    auto request = to.current->peer.exchangeRequest();
+    auto request = peer_link.current->peer.exchangeRequest();
     request.setEntry(settings_.entry);
-    request.setIncarnation(own_.incarnation);
-    request.setConfigVersion(own_.config_version);
-    request.setStopping(own_.stopping);
-    request.setHeir(own_.heir);
-    fill(request.initDemand(static_cast<unsigned>(own_.demand.size())),
-         own_.demand);
-    const auto name = to.entry.name;
-    const auto generation = to.generation;
-    to.current->calls.add(request.send().then(
+    request.setIncarnation(own_report_.incarnation);
+    request.setConfigVersion(own_report_.config_version);
+    request.setStopping(own_report_.stopping);
+    request.setHeir(own_report_.holder);
+    fill(request.initDemand(static_cast<unsigned>(own_report_.demand.size())),
+         own_report_.demand);
+    const auto name = peer_link.entry.name;
+    const auto generation = peer_link.generation;
+    peer_link.current->calls.add(request.send().then(
         [this, name, generation](auto&& reply)
         {
             const auto known = links_.find(name);
@@ -163,42 +166,46 @@
                 return;
             auto& from = *known->second;
             from.exchanging = false;
-            from.backoff = settings_.first_backoff;
+            from.backoff = settings_.initial_backoff;
             if (!std::exchange(from.up, true))
                 log_change(log_level::info, "peer_up", {{"entry", name}});
             from.report = {reply.getIncarnation(), reply.getConfigVersion(),
                            to_demand(reply.getDemand()), reply.getStopping(),
                            reply.getHeir().cStr()};
-            reported_(name, from.report);
+            on_report_(name, from.report);
         },
-        [this, name, generation](kj::Exception&&) { lost(name, generation); }));
+        [this, name, generation](kj::Exception&&)
+        { on_disconnected(name, generation); }));
 }
 
-void peer_links::set_own(peer_report own)
+void peer_links::set_own_report(peer_report own_report)
 {
     // Demand that moved by little is no news.
-    const auto moved = [](const std::vector<team_demand>& before,
-                          const std::vector<team_demand>& after)
+    const auto demand_changed = [](const std::vector<team_demand>& before,
+                                   const std::vector<team_demand>& after)
     {
         if (before.size() != after.size())
             return true;
         for (std::size_t i = 0; i < before.size(); ++i)
         {
-            constexpr double share = 0.1;
-            constexpr double least = 0.5;
+            constexpr double relative_change = 0.1;
+            constexpr double min_change = 0.5;
             const double change = std::abs(before[i].rate - after[i].rate);
             if (before[i].team != after[i].team ||
-                change > std::max(least, share * before[i].rate))
+                change > std::max(min_change, relative_change * before[i].rate))
                 return true;
         }
         return false;
     };
-    const bool other = own.config_version != own_.config_version ||
-                       own.stopping != own_.stopping || own.heir != own_.heir;
-    if (!other && !moved(own_.demand, own.demand))
+    const bool state_changed =
+        own_report.config_version != own_report_.config_version ||
+        own_report.stopping != own_report_.stopping ||
+        own_report.holder != own_report_.holder;
+    if (!state_changed &&
+        !demand_changed(own_report_.demand, own_report.demand))
         return;
-    own_ = std::move(own);
-    news_ = true;
+    own_report_ = std::move(own_report);
+    report_changed_ = true;
 }
 
 void peer_links::announce()
@@ -208,7 +215,7 @@
         known->exchanging = false;
         exchange(*known);
     }
-    news_ = false;
+    report_changed_ = false;
 }
 
 void peer_links::tick()
@@ -216,43 +223,48 @@
     const instant now = clock_.now();
     // News costs a message to each peer, so with many peers it goes out less
     // often and the bytes of a node stay flat.
-    const auto quick = std::max<duration>(settings_.quick,
-                                          settings_.quick_per_peer *
-                                              static_cast<int>(links_.size()));
-    bool news_left = false;
+    const auto min_exchange_interval = std::max<duration>(
+        settings_.min_exchange_interval,
+        settings_.exchange_interval_per_peer * static_cast<int>(links_.size()));
+    bool report_pending = false;
     for (auto& [name, known] : links_)
     {
-        auto& at = *known;
-        if (at.exchanging && now - at.exchanged > settings_.reply_limit)
+        auto& peer_link = *known;
+        if (peer_link.exchanging &&
+            now - peer_link.last_exchange > settings_.reply_timeout)
         {
-            broken(at, at.generation);
+            on_link_broken(peer_link, peer_link.generation);
             continue;
         }
-        if (!at.current && !at.connecting && now >= at.retry_at)
-            connect(at);
-        if (!at.up || at.exchanging)
+        if (!peer_link.current && !peer_link.connecting &&
+            now >= peer_link.retry_at)
+            connect(peer_link);
+        if (!peer_link.up || peer_link.exchanging)
             continue;
-        const auto since = now - at.exchanged;
+        const auto since = now - peer_link.last_exchange;
         // News is told to each peer once, a little later than it came, so
         // that the reply brings the peer's own.
         // A call that waits at a peer that hangs must not wait for ever.
-        const bool waits = *at.pending > 0 && since > settings_.probe_after;
-        const bool quiet = waits || since > heartbeat_of(name);
-        if (quiet || (news_ && since > quick))
-            exchange(at);
+        const bool awaiting_reply =
+            *peer_link.pending_calls > 0 && since > settings_.probe_after;
+        const bool is_heartbeat_due =
+            awaiting_reply || since > heartbeat_interval(name);
+        if (is_heartbeat_due ||
+            (report_changed_ && since > min_exchange_interval))
+            exchange(peer_link);
         else
-            news_left |= news_;
+            report_pending |= report_changed_;
     }
-    news_ = news_left;
+    report_changed_ = report_pending;
 }
 
-duration peer_links::heartbeat_of(const std::string& entry) const
+duration peer_links::heartbeat_interval(const std::string& entry) const
 {
     // An exchange tells both ends, so one end of a pair is enough; the other
     // steps in when it hears nothing.
-    constexpr int patience = 3;
+    constexpr int passive_end_factor = 3;
     return settings_.entry < entry ? settings_.heartbeat
-                                   : settings_.heartbeat * patience;
+                                   : settings_.heartbeat * passive_end_factor;
 }
 
 void peer_links::close()
@@ -291,7 +303,7 @@
     return by_team;
 }
 
-peer_links::link* peer_links::usable(const std::string& entry)
+peer_links::link* peer_links::find_up_link(const std::string& entry)
 {
     const auto known = links_.find(entry);
     return known == links_.end() || !known->second->up ? nullptr
@@ -303,15 +315,15 @@
 
 /// Counts a call as waiting until its handler is called.
 template <class Result>
-once_handler<Result> counted(const std::shared_ptr<int>& pending,
-                             std::function<void(Result)> handler,
-                             Result fallback)
+once_handler<Result> count_as_pending(const std::shared_ptr<int>& pending_calls,
+                                      std::function<void(Result)> handler,
+                                      Result fallback)
 {
-    ++*pending;
+    ++*pending_calls;
     return once_handler<Result>(
-        [pending, handler = std::move(handler)](Result result)
+        [pending_calls, handler = std::move(handler)](Result result)
         {
-            --*pending;
+            --*pending_calls;
             handler(std::move(result));
         },
         std::move(fallback));
@@ -319,12 +331,13 @@
 
 /// Sends a call whose reply has an answer and tells it.
 template <class Request>
-kj::Promise<void> send_for_answer(Request&& request,
-                                  const std::shared_ptr<int>& pending,
-                                  peer_links::answer_handler handler)
+kj::Promise<void>
+send_expecting_answer(Request&& request,
+                      const std::shared_ptr<int>& pending_calls,
+                      peer_links::answer_handler handler)
 {
-    const auto done = counted<std::optional<job_answer>>(
-        pending, std::move(handler), std::nullopt);
+    const auto done = count_as_pending<std::optional<job_answer>>(
+        pending_calls, std::move(handler), std::nullopt);
     return request.send().then([done](auto&& reply)
                                { done(to_answer(reply.getAnswer())); },
                                [done](kj::Exception&&) { done(std::nullopt); });
@@ -336,72 +349,73 @@
                         const std::string& body, const std::string& traceparent,
                         bool adopt, answer_handler done)
 {
-    auto* to = usable(entry);
-    if (!to)
+    auto* peer_link = find_up_link(entry);
+    if (!peer_link)
         return done(std::nullopt);
     stats_.submissions += 2;
-    auto request = to->current->peer.submitRequest();
+    auto request = peer_link->current->peer.submitRequest();
     request.setId(id);
     request.setBody(as_bytes(body));
     request.setTraceparent(traceparent);
     request.setAdopt(adopt);
-    to->current->calls.add(
-        send_for_answer(kj::mv(request), to->pending, std::move(done)));
+    peer_link->current->calls.add(send_expecting_answer(
+        kj::mv(request), peer_link->pending_calls, std::move(done)));
 }
 
 void peer_links::lookup(const std::string& entry, const std::string& id,
                         bool adopt, answer_handler done)
 {
-    auto* to = usable(entry);
-    if (!to)
+    auto* peer_link = find_up_link(entry);
+    if (!peer_link)
         return done(std::nullopt);
     stats_.submissions += 2;
-    auto request = to->current->peer.lookupRequest();
+    auto request = peer_link->current->peer.lookupRequest();
     request.setId(id);
     request.setAdopt(adopt);
-    to->current->calls.add(
-        send_for_answer(kj::mv(request), to->pending, std::move(done)));
+    peer_link->current->calls.add(send_expecting_answer(
+        kj::mv(request), peer_link->pending_calls, std::move(done)));
 }
 
 void peer_links::operate(const std::string& entry, const std::string& statement,
                          const std::string& by, answer_handler done)
 {
-    auto* to = usable(entry);
-    if (!to)
+    auto* peer_link = find_up_link(entry);
+    if (!peer_link)
         return done(std::nullopt);
-    auto request = to->current->peer.operateRequest();
+    auto request = peer_link->current->peer.operateRequest();
     request.setStatement(statement);
     request.setBy(by);
-    to->current->calls.add(
-        send_for_answer(kj::mv(request), to->pending, std::move(done)));
+    peer_link->current->calls.add(send_expecting_answer(
+        kj::mv(request), peer_link->pending_calls, std::move(done)));
 }
 
 void peer_links::holds(const std::string& entry, std::uint64_t incarnation,
                        std::function<void(bool)> handler)
 {
-    auto* to = usable(entry);
-    if (!to)
+    auto* peer_link = find_up_link(entry);
+    if (!peer_link)
         return handler(false);
-    const once_handler<bool> done =
-        counted<bool>(to->pending, std::move(handler), false);
-    auto request = to->current->peer.holdsRequest();
+    const once_handler<bool> done = count_as_pending<bool>(
+        peer_link->pending_calls, std::move(handler), false);
+    auto request = peer_link->current->peer.holdsRequest();
     request.setIncarnation(incarnation);
-    to->current->calls.add(
+    peer_link->current->calls.add(
         request.send().then([done](auto&& reply) { done(reply.getHeld()); },
                             [done](kj::Exception&&) { done(false); }));
 }
 
-void peer_links::keep(const std::string& entry, std::uint64_t incarnation,
-                      const std::vector<coordinator::kept_answer>& answers,
-                      std::function<void(bool)> handler)
+void peer_links::send_kept_answers(
+    const std::string& entry, std::uint64_t incarnation,
+    const std::vector<coordinator::kept_answer>& answers,
+    std::function<void(bool)> handler)
 {
-    auto* to = usable(entry);
-    if (!to)
+    auto* peer_link = find_up_link(entry);
+    if (!peer_link)
         return handler(false);
-    const once_handler<bool> done =
-        counted<bool>(to->pending, std::move(handler), false);
+    const once_handler<bool> done = count_as_pending<bool>(
+        peer_link->pending_calls, std::move(handler), false);
     ++stats_.handovers;
-    auto request = to->current->peer.keepRequest();
+    auto request = peer_link->current->peer.keepRequest();
     request.setEntry(settings_.entry);
     request.setIncarnation(incarnation);
     auto list = request.initAnswers(static_cast<unsigned>(answers.size()));
@@ -411,22 +425,21 @@
         list[i].setBodyHash(answers[i].body_hash);
         fill(list[i].initAnswer(), answers[i].answer);
     }
-    to->current->calls.add(request.send().then([done](auto&&) { done(true); },
-                                               [done](kj::Exception&&)
-                                               { done(false); }));
+    peer_link->current->calls.add(
+        request.send().then([done](auto&&) { done(true); },
+                            [done](kj::Exception&&) { done(false); }));
 }
 
-void peer_links::fetch_configuration(
-    const std::string& entry, const configuration& known,
-    std::function<void(const configuration&)> done)
+void peer_links::pull(const std::string& entry, const configuration& known,
+                      std::function<void(const configuration&)> done)
 {
-    auto* to = usable(entry);
-    if (!to)
+    auto* peer_link = find_up_link(entry);
+    if (!peer_link)
         return;
-    stats_.pulls += 2;
-    auto request = to->current->peer.configurationRequest();
+    stats_.configuration_fetches += 2;
+    auto request = peer_link->current->peer.configurationRequest();
     request.setSince(known.version());
-    to->current->calls.add(request.send().then(
+    peer_link->current->calls.add(request.send().then(
         [newer = configuration(known), done](auto&& reply) mutable
         {
             if (merge(newer, reply.getConfiguration()))
@@ -435,17 +448,17 @@
         [](kj::Exception&&) {}));
 }
 
-void peer_links::ask_members(const host_port& where,
-                             std::function<void(std::vector<member>)> done)
+void peer_links::request_members(const host_port& address,
+                                 std::function<void(std::vector<member>)> done)
 {
     connect_rpc(
-        io_, where,
-        [this, done](connect_result got)
+        io_, address,
+        [this, done](connect_result attempt)
         {
-            if (!got.socket)
+            if (!attempt.socket)
                 return done({});
             auto once = std::make_shared<kj::Own<link::connection>>(
-                kj::heap<link::connection>(std::move(*got.socket), bytes_));
+                kj::heap<link::connection>(std::move(*attempt.socket), bytes_));
             const auto end = [this, once, done](std::vector<member> members)
             {
                 // Not from inside the connection's own call.
@@ -467,7 +480,7 @@
                      labels);
     };
     add(stats_.exchanges, R"(kind="exchange",useful="0")");
-    add(stats_.pulls, R"(kind="configuration",useful="0")");
+    add(stats_.configuration_fetches, R"(kind="configuration",useful="0")");
     add(stats_.handovers, R"(kind="handover",useful="0")");
     add(stats_.submissions, R"(kind="submission",useful="1")");
     page.counter("peer_bytes_total", "Bytes over links between entries",
--- a/src/glenhollow/entry/peer_links.hpp
+++ b/src/glenhollow/entry/peer_links.hpp
@@ -37,20 +37,22 @@
     std::uint64_t config_version = 0; ///< In force there.
     std::vector<team_demand> demand;  ///< There.
     bool stopping = false;            ///< It takes no new jobs.
-    std::string heir;                 ///< Who has its kept answers.
+    std::string holder;               ///< Who has its kept answers.
 };
 
 /// Settings of the links between entries.
 struct peer_links_settings
 {
-    std::string entry = "entry";        ///< Our name.
-    duration quick = milliseconds{500}; ///< Between exchanges with news.
-    duration quick_per_peer = milliseconds{50}; ///< The same, for each peer.
-    duration heartbeat = seconds{20};           ///< Between exchanges without.
-    duration reply_limit = seconds{2};          ///< For an exchange.
-    duration probe_after = seconds{1}; ///< While calls wait for answers.
-    duration first_backoff = milliseconds{50}; ///< Of reconnects.
-    duration longest_backoff = seconds{2};     ///< The doubling ends here.
+    std::string entry = "entry"; ///< Our name.
+    duration min_exchange_interval =
+        milliseconds{500}; ///< Between exchanges with news.
+    duration exchange_interval_per_peer =
+        milliseconds{50};                ///< The same, for each peer.
+    duration heartbeat = seconds{20};    ///< Between exchanges without.
+    duration reply_timeout = seconds{2}; ///< For an exchange.
+    duration probe_after = seconds{1};   ///< While calls wait for answers.
+    duration initial_backoff = milliseconds{50}; ///< Of reconnects.
+    duration max_backoff = seconds{2};           ///< The doubling ends here.
 };
 
 /// Counters of the links between entries.
@@ -58,8 +60,9 @@
 {
     std::uint64_t exchanges = 0;   ///< Both ways.
     std::uint64_t submissions = 0; ///< Forwarded, both ways.
-    std::uint64_t pulls = 0;       ///< Configurations asked for, both ways.
-    std::uint64_t handovers = 0;   ///< Messages with kept answers.
+    std::uint64_t configuration_fetches =
+        0;                       ///< Configurations asked for, both ways.
+    std::uint64_t handovers = 0; ///< Messages with kept answers.
 };
 
 /// Links from one entry to the others, on the control thread, inside an
@@ -83,16 +86,16 @@
     ~peer_links();
 
     /// @param handler Told each report.
-    void on_report(report_handler handler) { reported_ = std::move(handler); }
+    void on_report(report_handler handler) { on_report_ = std::move(handler); }
 
     /// @param entries All other entries.
     void set_entries(const std::vector<member>& entries);
 
     /// @param own What the next exchanges tell.
-    void set_own(peer_report own);
+    void set_own_report(peer_report own_report);
 
     /// @return What exchanges tell.
-    const peer_report& own() const { return own_; }
+    const peer_report& own_report() const { return own_report_; }
 
     /// Exchanges now instead of when they are due.
     void announce();
@@ -155,23 +158,22 @@
     /// @param incarnation Whose they are.
     /// @param answers Some of them.
     /// @param done Told whether they arrived.
-    void keep(const std::string& entry, std::uint64_t incarnation,
-              const std::vector<coordinator::kept_answer>& answers,
-              std::function<void(bool)> done);
+    void send_kept_answers(const std::string& entry, std::uint64_t incarnation,
+                           const std::vector<coordinator::kept_answer>& answers,
+                           std::function<void(bool)> done);
 
     /// Asks for a newer configuration.
     /// @param entry Whom.
     /// @param known Ours.
     /// @param done Told the newer one; not called without it.
-    void fetch_configuration(const std::string& entry,
-                             const configuration& known,
-                             std::function<void(const configuration&)> done);
+    void pull(const std::string& entry, const configuration& known,
+              std::function<void(const configuration&)> done);
 
     /// Asks for the members an address knows, without a link to it.
     /// @param where An entry's RPC address.
     /// @param done Told them; empty where it does not answer.
-    void ask_members(const host_port& where,
-                     std::function<void(std::vector<member>)> done);
+    void request_members(const host_port& address,
+                         std::function<void(std::vector<member>)> done);
 
     /// @return Counters.
     const peer_links_stats& stats() const { return stats_; }
@@ -182,24 +184,25 @@
 private:
     struct link;
 
-    void connect(link& to);
-    void connected(link& to, boost::asio::ip::tcp::socket socket);
-    void lost(const std::string& entry, std::uint64_t generation);
-    void broken(link& at, std::uint64_t generation);
-    void exchange(link& to);
-    duration heartbeat_of(const std::string& entry) const;
-    link* usable(const std::string& entry);
+    void connect(link& peer_link);
+    void on_connected(link& peer_link, boost::asio::ip::tcp::socket socket);
+    void on_disconnected(const std::string& entry, std::uint64_t generation);
+    void on_link_broken(link& peer_link, std::uint64_t generation);
+    void exchange(link& peer_link);
+    duration heartbeat_interval(const std::string& entry) const;
+    link* find_up_link(const std::string& entry);
 
     boost::asio::io_context& io_;  ///< The loop's context.
     const clock_source& clock_;    ///< The entry's clock.
     peer_links_settings settings_; ///< Limits.
-    report_handler reported_;      ///< Told each report.
-    peer_report own_;              ///< What we tell.
-    bool news_ = true;             ///< own_ changed since the last exchange.
+    report_handler on_report_;     ///< Told each report.
+    peer_report own_report_;       ///< What we tell.
+    bool report_changed_ =
+        true; ///< own_report_ changed since the last exchange.
     std::map<std::string, std::unique_ptr<link>> links_; ///< By entry.
-    std::uint64_t generations_ = 0; ///< Counts connections.
-    stream_stats bytes_;            ///< Over all links.
-    peer_links_stats stats_;        ///< Counters.
+    std::uint64_t last_generation_ = 0; ///< Counts connections.
+    stream_stats bytes_;                ///< Over all links.
+    peer_links_stats stats_;            ///< Counters.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/peer_service.cpp
+++ b/src/glenhollow/entry/peer_service.cpp
@@ -28,7 +28,7 @@
     }
 
     /// @return A sink for the answer.
-    answer_callback sink()
+    answer_callback callback()
     {
         return [&io = io_, fulfiller = fulfiller_](job_answer answer)
         {
@@ -57,15 +57,15 @@
     const peer_report report{params.getIncarnation(), params.getConfigVersion(),
                              to_demand(params.getDemand()),
                              params.getStopping(), params.getHeir().cStr()};
-    plane_.take_report(entry, report);
-    const auto& own = plane_.peers().own();
+    plane_.handle_peer_report(entry, report);
+    const auto& own_report = plane_.peers().own_report();
     auto results = context.getResults();
     results.setIncarnation(plane_.incarnation());
     results.setConfigVersion(plane_.store().current().version());
-    results.setStopping(own.stopping);
-    results.setHeir(own.heir);
-    fill(results.initDemand(static_cast<unsigned>(own.demand.size())),
-         own.demand);
+    results.setStopping(own_report.stopping);
+    results.setHeir(own_report.holder);
+    fill(results.initDemand(static_cast<unsigned>(own_report.demand.size())),
+         own_report.demand);
     return kj::READY_NOW;
 }
 
@@ -76,17 +76,17 @@
     const auto id = submission_id::parse(params.getId().cStr());
     std::string body = to_string(params.getBody());
     auto request = parse_job(body, backend_.limits());
-    auto tell = [context](const job_answer& told) mutable
-    { fill(context.getResults().initAnswer(), told); };
+    auto write_answer = [context](const job_answer& result) mutable
+    { fill(context.getResults().initAnswer(), result); };
     if (!id)
     {
-        tell(api_problem{400, reason::malformed, "the id is not one"}
-                 .to_answer());
+        write_answer(api_problem{400, reason::malformed, "the id is not one"}
+                         .to_answer());
         return kj::READY_NOW;
     }
     if (!request)
     {
-        tell(request.error().to_answer());
+        write_answer(request.error().to_answer());
         return kj::READY_NOW;
     }
     const std::string traceparent = params.getTraceparent().cStr();
@@ -97,16 +97,16 @@
         job.request = std::move(request.value());
         job.trace = trace_context::parse(traceparent);
         job.body = std::move(body);
-        backend_.submit(std::move(job), answer.sink());
+        backend_.submit(std::move(job), answer.callback());
     }
     else
     {
         plane_.foreign().resolve(
             {*id, std::move(body), traceparent, params.getAdopt()},
-            answer.sink());
+            answer.callback());
     }
     context.releaseParams();
-    return answer.take().then(kj::mv(tell));
+    return answer.take().then(kj::mv(write_answer));
 }
 
 kj::Promise<void> peer_service::lookup(LookupContext context)
@@ -114,20 +114,20 @@
     const auto params = context.getParams();
     answer_promise answer(plane_.io());
     const auto id = submission_id::parse(params.getId().cStr());
-    auto tell = [context](const job_answer& told) mutable
-    { fill(context.getResults().initAnswer(), told); };
+    auto write_answer = [context](const job_answer& result) mutable
+    { fill(context.getResults().initAnswer(), result); };
     if (!id)
     {
-        tell(api_problem{400, reason::malformed, "the id is not one"}
-                 .to_answer());
+        write_answer(api_problem{400, reason::malformed, "the id is not one"}
+                         .to_answer());
         return kj::READY_NOW;
     }
     if (id->incarnation == plane_.incarnation())
-        backend_.lookup(*id, answer.sink());
+        backend_.lookup(*id, answer.callback());
     else
         plane_.foreign().resolve({*id, std::nullopt, "", params.getAdopt()},
-                                 answer.sink());
-    return answer.take().then(kj::mv(tell));
+                                 answer.callback());
+    return answer.take().then(kj::mv(write_answer));
 }
 
 kj::Promise<void> peer_service::configuration(ConfigurationContext context)
@@ -142,10 +142,10 @@
     const auto params = context.getParams();
     answer_promise answer(plane_.io());
     operators_.run(params.getStatement().cStr(), params.getBy().cStr(),
-                   statement_scope::this_entry, answer.sink());
+                   statement_scope::this_entry, answer.callback());
     return answer.take().then(
-        [context](const job_answer& told) mutable
-        { fill(context.getResults().initAnswer(), told); });
+        [context](const job_answer& result) mutable
+        { fill(context.getResults().initAnswer(), result); });
 }
 
 kj::Promise<void> peer_service::keep(KeepContext context)
--- a/src/glenhollow/entry/peer_wire.cpp
+++ b/src/glenhollow/entry/peer_wire.cpp
@@ -53,10 +53,10 @@
 
 void fill(capnp::List<wire::Member>::Builder out, const member_map& members)
 {
-    unsigned place = 0;
+    unsigned index = 0;
     for (const auto& [name, one] : members)
     {
-        auto to = out[place++];
+        auto to = out[index++];
         to.setName(name);
         to.setRole(std::string(to_name(one.role)));
         to.setHall(one.hall);
--- a/src/glenhollow/entry/row_table.cpp
+++ b/src/glenhollow/entry/row_table.cpp
@@ -16,13 +16,13 @@
 namespace
 {
 
-std::string as_text(const json::value& value)
+std::string to_text(const json::value& value)
 {
     return value.is_string() ? std::string(value.get_string())
                              : json::serialize(value);
 }
 
-bool decide(std::partial_ordering order, comparison op)
+bool satisfies(std::partial_ordering order, comparison op)
 {
     switch (op)
     {
@@ -61,8 +61,8 @@
 {
     for (auto& row : rows)
     {
-        const auto* own = row.get_object().if_contains(key);
-        if (own && *own == name)
+        const auto* existing = row.get_object().if_contains(key);
+        if (existing && *existing == name)
             return &row.get_object();
     }
     return nullptr;
@@ -70,19 +70,19 @@
 
 } // namespace
 
-bool holds(const json::value& field, comparison op, const std::string& value)
+bool matches(const json::value& field, comparison op, const std::string& value)
 {
     if (field.is_number())
     {
         char* end = nullptr;
         const double number = std::strtod(value.c_str(), &end);
         if (!value.empty() && *end == '\0')
-            return decide(field.to_number<double>() <=> number, op);
+            return satisfies(field.to_number<double>() <=> number, op);
     }
-    return decide(as_text(field) <=> value, op);
+    return satisfies(to_text(field) <=> value, op);
 }
 
-void row_table::merge(const job_answer& answer, const row_merge& how)
+void row_table::merge(const job_answer& answer, const row_merge_rules& rules)
 {
     boost::system::error_code ec;
     auto parsed = json::parse(answer.body, ec);
@@ -91,22 +91,22 @@
     auto* rows = parsed.get_object().if_contains("rows");
     if (!rows || !rows->is_array())
         return;
-    for (auto& theirs : rows->get_array())
+    for (auto& peer_row : rows->get_array())
     {
-        if (!theirs.is_object())
+        if (!peer_row.is_object())
             continue;
-        auto& row = theirs.get_object();
-        const auto* name = row.if_contains(how.key);
-        auto* own = name ? find_row(rows_, how.key, *name) : nullptr;
-        if (!own)
+        auto& row = peer_row.get_object();
+        const auto* name = row.if_contains(rules.key);
+        auto* existing = name ? find_row(rows_, rules.key, *name) : nullptr;
+        if (!existing)
         {
-            if (!how.only_known)
+            if (!rules.known_rows_only)
                 rows_.push_back(std::move(row));
             continue;
         }
-        for (const auto& field : how.sums)
+        for (const auto& field : rules.summed_fields)
         {
-            auto* to = own->if_contains(field);
+            auto* to = existing->if_contains(field);
             const auto* from = row.if_contains(field);
             if (!to || !from || !to->is_number() || !from->is_number())
                 continue;
@@ -142,7 +142,7 @@
         for (auto& row : rows_)
         {
             const auto* field = row.get_object().if_contains(one.field);
-            if (field && holds(*field, one.op, one.value))
+            if (field && matches(*field, one.op, one.value))
                 kept.push_back(std::move(row));
         }
         rows_ = std::move(kept);
@@ -155,7 +155,7 @@
     const auto text = [&key](const json::value& row)
     {
         const auto* field = row.get_object().if_contains(key);
-        return field ? as_text(*field) : std::string();
+        return field ? to_text(*field) : std::string();
     };
     std::stable_sort(rows_.begin(), rows_.end(),
                      [&](const auto& a, const auto& b)
--- a/src/glenhollow/entry/row_table.hpp
+++ b/src/glenhollow/entry/row_table.hpp
@@ -15,12 +15,12 @@
 {
 
 /// How rows of several entries that name the same thing become one.
-struct row_merge
+struct row_merge_rules
 {
-    std::string key;               ///< Field that names the thing; empty:
-                                   ///< rows are only joined.
-    std::vector<std::string> sums; ///< Fields that are added up.
-    bool only_known = false;       ///< Rows that are new here are left out.
+    std::string key; ///< Field that names the thing; empty:
+                     ///< rows are only joined.
+    std::vector<std::string> summed_fields; ///< Fields that are added up.
+    bool known_rows_only = false; ///< Rows that are new here are left out.
 };
 
 /// @param number A number.
@@ -38,7 +38,7 @@
     /// Adds the rows of another entry's answer.
     /// @param answer The answer; a problem adds nothing.
     /// @param how How rows are joined.
-    void merge(const job_answer& answer, const row_merge& how);
+    void merge(const job_answer& answer, const row_merge_rules& rules);
 
     /// Keeps the rows for which all conditions hold.
     /// @param where The conditions.
@@ -63,8 +63,8 @@
 /// @param op How it compares.
 /// @param value With what; as numbers where both are numbers.
 /// @return Whether the condition holds.
-bool holds(const boost::json::value& field, comparison op,
-           const std::string& value);
+bool matches(const boost::json::value& field, comparison op,
+             const std::string& value);
 
 } // namespace glenhollow
 
--- a/src/glenhollow/entry/shard.cpp
+++ b/src/glenhollow/entry/shard.cpp
@@ -9,16 +9,16 @@
 {
 
 /// Set while a thread runs a shard.
-thread_local shard* shard_of_thread = nullptr;
+thread_local shard* current_shard = nullptr;
 
-constexpr duration link_tick = milliseconds{100};
+constexpr duration link_tick_interval = milliseconds{100};
 
 } // namespace
 
 shard::shard(const shard_settings& settings, entry_backend& backend,
              span_exporter* spans)
     : settings_(settings), spans_(spans), api_(backend, spans),
-      wake_(loop_.io()), link_timer_(loop_.io())
+      wake_timer_(loop_.io()), link_timer_(loop_.io())
 {
 }
 
@@ -28,35 +28,35 @@
                                              entry_backend& backend,
                                              span_exporter* spans)
 {
-    std::unique_ptr<shard> made(new shard(settings, backend, spans));
-    auto* self = made.get();
+    std::unique_ptr<shard> created(new shard(settings, backend, spans));
+    auto* self = created.get();
     BOOST_OUTCOME_TRY(
         auto server,
-        http_server::create(made->loop_.io(), settings.http,
+        http_server::create(created->loop_.io(), settings.http,
                             [self](http_request request, http_responder done) {
                                 self->api_.handle(std::move(request),
                                                   std::move(done));
                             }));
-    made->server_ = std::move(server);
-    made->links_ = std::make_unique<agent_links>(
-        made->loop_.io(), process_clock(), settings.links);
-    made->coordinator_ = std::make_unique<coordinator>(
-        process_clock(), *made->links_, settings.incarnation,
+    created->server_ = std::move(server);
+    created->links_ = std::make_unique<agent_links>(
+        created->loop_.io(), process_clock(), settings.links);
+    created->coordinator_ = std::make_unique<coordinator>(
+        process_clock(), *created->links_, settings.incarnation,
         settings.coordinator, settings.seed);
-    made->coordinator_->set_span_exporter(spans);
-    made->coordinator_->ring().on_notable(
+    created->coordinator_->set_span_exporter(spans);
+    created->coordinator_->ring().on_notable(
         [self](const decision_record& record)
-        { self->notables_.add(self->to_line(record)); });
-    made->links_->attach(*made->coordinator_,
-                         [self] { self->schedule_dispatch(); });
-    return made;
+        { self->notable_decisions_.add(self->to_report_line(record)); });
+    created->links_->attach(*created->coordinator_,
+                            [self] { self->schedule_dispatch(); });
+    return created;
 }
 
 void shard::run()
 {
-    shard_of_thread = this;
+    current_shard = this;
     loop_.run([this] { set_up(); }, [this] { tear_down(); });
-    shard_of_thread = nullptr;
+    current_shard = nullptr;
 }
 
 void shard::set_up()
@@ -67,16 +67,16 @@
 void shard::tear_down()
 {
     link_timer_.cancel();
-    wake_.cancel();
+    wake_timer_.cancel();
     links_->close();
 }
 
 shard* shard::current()
 {
-    return shard_of_thread;
+    return current_shard;
 }
 
-void shard::run_here(std::function<void(shard&)> work)
+void shard::run_or_post(std::function<void(shard&)> work)
 {
     if (current() == this)
         work(*this);
@@ -100,34 +100,34 @@
                       {
                           dispatch_posted_ = false;
                           coordinator_->dispatch();
-                          arm();
+                          schedule_wake();
                       });
 }
 
-void shard::arm()
+void shard::schedule_wake()
 {
     const auto next = coordinator_->next_wake();
-    if (!next || (armed_ && *armed_ <= *next))
+    if (!next || (wake_at_ && *wake_at_ <= *next))
         return;
-    armed_ = next;
+    wake_at_ = next;
     const auto wait =
         std::max<duration>(*next - process_clock().now(), duration::zero());
-    wake_.expires_after(wait);
-    wake_.async_wait(
+    wake_timer_.expires_after(wait);
+    wake_timer_.async_wait(
         [this](boost::system::error_code ec)
         {
             if (ec)
                 return;
-            armed_.reset();
+            wake_at_.reset();
             coordinator_->tick();
-            arm();
+            schedule_wake();
         });
 }
 
 void shard::tick_links()
 {
     links_->tick();
-    link_timer_.expires_after(link_tick);
+    link_timer_.expires_after(link_tick_interval);
     link_timer_.async_wait(
         [this](boost::system::error_code ec)
         {
@@ -136,12 +136,12 @@
         });
 }
 
-night_report shard::take_notables()
+night_report shard::take_notable_decisions()
 {
-    return std::exchange(notables_, night_report{});
+    return std::exchange(notable_decisions_, night_report{});
 }
 
-report_line shard::to_line(const decision_record& record) const
+report_line shard::to_report_line(const decision_record& record) const
 {
     report_line line;
     line.wall = record.wall;
--- a/src/glenhollow/entry/shard.hpp
+++ b/src/glenhollow/entry/shard.hpp
@@ -56,7 +56,7 @@
     void post(std::function<void(shard&)> work);
 
     /// @param work Runs on the shard's thread: now, if that is this one.
-    void run_here(std::function<void(shard&)> work);
+    void run_or_post(std::function<void(shard&)> work);
 
     /// @return The shard whose thread calls, or null.
     static shard* current();
@@ -75,11 +75,11 @@
 
     /// @return Decisions that are to be kept in the object store, since the
     /// last call.
-    night_report take_notables();
+    night_report take_notable_decisions();
 
     /// @param record A decision of this shard.
     /// @return The same with names in place of numbers.
-    report_line to_line(const decision_record& record) const;
+    report_line to_report_line(const decision_record& record) const;
 
     /// Makes connections close after their next answer.
     void close_after_answers() { server_->close_after_answers(); }
@@ -98,7 +98,7 @@
           span_exporter* spans);
     void set_up();
     void tear_down();
-    void arm();
+    void schedule_wake();
     void tick_links();
 
     shard_settings settings_;                  ///< Limits.
@@ -108,11 +108,11 @@
     std::unique_ptr<http_server> server_;      ///< Callers.
     std::unique_ptr<agent_links> links_;       ///< Agents.
     std::unique_ptr<coordinator> coordinator_; ///< Decisions.
-    boost::asio::steady_timer wake_;           ///< For the coordinator.
-    std::optional<instant> armed_;             ///< When it will fire.
+    boost::asio::steady_timer wake_timer_;     ///< For the coordinator.
+    std::optional<instant> wake_at_;           ///< When it will fire.
     boost::asio::steady_timer link_timer_;     ///< For the links.
     bool dispatch_posted_ = false;             ///< A dispatch will run.
-    night_report notables_;                    ///< For the control thread.
+    night_report notable_decisions_;           ///< For the control thread.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/shard_group.hpp
+++ b/src/glenhollow/entry/shard_group.hpp
@@ -23,7 +23,7 @@
     /// @param control Where gathered results are told.
     shard_group(std::vector<std::unique_ptr<shard>> shards,
                 boost::asio::io_context& control)
-        : shards_(std::move(shards)), control_(control)
+        : shards_(std::move(shards)), control_io_(control)
     {
     }
 
@@ -42,7 +42,7 @@
     }
 
     /// @param work Runs on each shard's thread.
-    void for_all(const std::function<void(shard&)>& work)
+    void post_to_all(const std::function<void(shard&)>& work)
     {
         for (const auto& one : shards_)
             one->post(work);
@@ -52,13 +52,13 @@
     /// @param ask Runs on each shard's thread.
     /// @param done Told the answers, in the order of the shards.
     template <class T>
-    void gather(std::function<T(shard&)> ask,
+    void gather(std::function<T(shard&)> query,
                 std::function<void(std::vector<T>)> done)
     {
         struct collection
         {
             std::vector<T> answers;
-            std::size_t open;
+            std::size_t pending;
             std::function<void(std::vector<T>)> done;
         };
         auto all = std::make_shared<collection>(collection{
@@ -66,13 +66,13 @@
         for (std::size_t i = 0; i < shards_.size(); ++i)
         {
             shards_[i]->post(
-                [this, i, ask, all](shard& one)
+                [this, i, query, all](shard& one)
                 {
-                    boost::asio::post(control_,
-                                      [i, all, answer = ask(one)]() mutable
+                    boost::asio::post(control_io_,
+                                      [i, all, answer = query(one)]() mutable
                                       {
                                           all->answers[i] = std::move(answer);
-                                          if (--all->open == 0)
+                                          if (--all->pending == 0)
                                               all->done(
                                                   std::move(all->answers));
                                       });
@@ -82,7 +82,7 @@
 
 private:
     std::vector<std::unique_ptr<shard>> shards_; ///< The threads.
-    boost::asio::io_context& control_;           ///< The control thread.
+    boost::asio::io_context& control_io_;        ///< The control thread.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/waste_history.hpp
+++ b/src/glenhollow/entry/waste_history.hpp
@@ -67,36 +67,36 @@
     void add(instant now, const waste_counts& counts)
     {
         samples_.push_back({now, counts});
-        if (samples_.size() > most_samples)
+        if (samples_.size() > max_samples)
             samples_.pop_front();
     }
 
     /// @param now The time.
     /// @param since How far back; nothing: since the start.
     /// @return What came in that time, as far as it is known.
-    waste_counts within(instant now, std::optional<duration> since) const
+    waste_counts counts_within(instant now, std::optional<duration> since) const
     {
         if (samples_.empty())
             return {};
         waste_counts result = samples_.back().counts;
         if (!since)
             return result;
-        waste_counts before;
+        waste_counts baseline;
         for (const auto& sample : samples_)
         {
             if (sample.at > now - *since)
                 break;
-            before = sample.counts;
+            baseline = sample.counts;
         }
         for (std::size_t i = 0; i < result.by_kind.size(); ++i)
-            result.by_kind[i] -= before.by_kind[i];
-        result.tasks -= before.tasks;
+            result.by_kind[i] -= baseline.by_kind[i];
+        result.tasks -= baseline.tasks;
         return result;
     }
 
 private:
     /// A day of samples, one each 10 s.
-    static constexpr std::size_t most_samples = 8640;
+    static constexpr std::size_t max_samples = 8640;
 
     /// Totals at one time.
     struct sample
--- a/tests/unit/entry/waste_history_tests.cpp
+++ b/tests/unit/entry/waste_history_tests.cpp
@@ -7,7 +7,7 @@
 TEST_CASE("waste within a period is the difference of two totals")
 {
     waste_history history;
-    REQUIRE(history.within(seconds{1}, std::nullopt).tasks == 0);
+    REQUIRE(history.counts_within(seconds{1}, std::nullopt).tasks == 0);
     for (std::uint64_t i = 1; i <= 10; ++i)
     {
         waste_counts counts;
@@ -15,10 +15,10 @@
         counts.tasks = 100 * i;
         history.add(seconds{10 * i}, counts);
     }
-    REQUIRE(history.within(seconds{100}, std::nullopt).tasks == 1000);
-    auto last = history.within(seconds{100}, seconds{30});
+    REQUIRE(history.counts_within(seconds{100}, std::nullopt).tasks == 1000);
+    auto last = history.counts_within(seconds{100}, seconds{30});
     REQUIRE(last[waste_kind::ping] == 6);
     REQUIRE(last.tasks == 300);
     // A period longer than the history returns all of it.
-    REQUIRE(history.within(seconds{100}, seconds{3600}).tasks == 1000);
+    REQUIRE(history.counts_within(seconds{100}, seconds{3600}).tasks == 1000);
 }
