--- a/src/glenhollow/entry/agent_control.cpp
+++ b/src/glenhollow/entry/agent_control.cpp
@@ -163,8 +163,9 @@
     start_or_queue(new_call);
 }
 
-void agent_control::pull(const member& agent, const configuration& known,
-                         std::function<void(const configuration&)> done)
+void agent_control::fetch_configuration(
+    const member& agent, const configuration& known,
+    std::function<void(const configuration&)> done)
 {
     auto new_call = std::make_shared<call>(io_);
     new_call->agent = agent;
--- a/src/glenhollow/entry/agent_control.hpp
+++ b/src/glenhollow/entry/agent_control.hpp
@@ -73,8 +73,8 @@
     /// @param agent The agent to call.
     /// @param known The configuration in force at this entry.
     /// @param done Called only if the agent has a newer configuration.
-    void pull(const member& agent, const configuration& known,
-              std::function<void(const configuration&)> done);
+    void fetch_configuration(const member& agent, const configuration& known,
+                             std::function<void(const configuration&)> done);
 
     /// Drops all calls. Must be called inside the rpc_loop, before it ends.
     void close();
--- a/src/glenhollow/entry/control_plane.cpp
+++ b/src/glenhollow/entry/control_plane.cpp
@@ -22,10 +22,10 @@
 constexpr duration waste_interval = seconds{10};
 constexpr std::string_view platform_list = "platform list";
 
-/// Bytes of kept answers in one message.
+/// Size in bytes at which a message of kept answers is full.
 constexpr std::size_t max_handover_message_bytes = 512UL << 10;
 
-/// Demand of the teams with a quota at one shard.
+/// Demand of the client accounts with a quota at one shard.
 using shard_demand = std::vector<std::pair<std::string, double>>;
 
 tuning read_defaults(const std::string& statements)
@@ -53,7 +53,7 @@
         std::chrono::duration<double>(length));
 }
 
-/// Puts the settings in force into a shard.
+/// Applies the effective settings to a shard.
 void apply_tuning(shard& to, const tuning& values)
 {
     auto limits = to.jobs().settings();
@@ -81,7 +81,7 @@
     to.links().apply(links);
 }
 
-/// Puts the teams' rows into a shard.
+/// Applies the quotas and weights of the client accounts to a shard.
 void apply_teams(shard& to, const configuration& config, const tuning& values)
 {
     auto& quota = to.jobs().quota();
@@ -137,7 +137,8 @@
                                                    interval, std::move(work)),
                    restart_policy::restart);
     };
-    add("membership_and_configuration", settings_.poll, [this] { poll(); });
+    add("membership_and_configuration", settings_.poll_interval,
+        [this] { poll(); });
     add("peer_links", link_interval,
         [this]
         {
@@ -148,7 +149,8 @@
     add("quota_shares", quota_interval, [this] { distribute_quota_shares(); });
     add("decision_log", decision_collection_interval,
         [this] { collect_notable_decisions(); });
-    add("night_report", settings_.report, [this] { write_report([] {}); });
+    add("night_report", settings_.report_interval,
+        [this] { write_report([] {}); });
     add("waste_history", waste_interval,
         [this]
         {
@@ -195,8 +197,8 @@
 
 void control_plane::poll()
 {
-    // News comes from peers as well, so a quiet list is asked for less often;
-    // the platform's reads are shared by all entries.
+    // All entries share the platform's read limit and peers report newer
+    // configurations too, so the interval grows while the VM list is unchanged.
     const instant now = process_clock().now();
     if (now < next_poll_)
         return;
@@ -214,7 +216,7 @@
             }
             vm_revision_ = changes.revision;
             if (!changes.changed.empty())
-                poll_interval_ = settings_.poll;
+                poll_interval_ = settings_.poll_interval;
             members_.apply(changes.changed);
         });
     store_.poll();
@@ -270,7 +272,8 @@
     {
         const bool leaving = one.role == member_role::runner &&
                              one.state == member_state::leaving;
-        // One entry, the same for all, tells it.
+        // All entries rank the same entry first; only that one notifies the
+        // agent.
         if (!leaving || notified_leaving_.contains(name) ||
             rendezvous_order(name, entries).front() != settings_.entry)
             continue;
@@ -314,9 +317,9 @@
 {
     foreign_.on_peer_report(entry, report);
     if (report.config_version > store_.current().version())
-        peers_.pull(entry, store_.current(),
-                    [this](const configuration& newer)
-                    { store_.offer(newer); });
+        peers_.fetch_configuration(entry, store_.current(),
+                                   [this](const configuration& newer)
+                                   { store_.offer(newer); });
 }
 
 void control_plane::fetch_configuration_from_agents()
@@ -324,8 +327,8 @@
     if (is_fetching_configuration_)
         return;
     is_fetching_configuration_ = true;
-    // An agent that an earlier start of ours had told more than we know now
-    // has the configuration that a store that is away cannot give.
+    // Agents may have a newer configuration than this entry after a restart
+    // while the store is unavailable.
     using agent_version = std::pair<std::uint64_t, std::string>;
     shards_.gather<agent_version>(
         [](shard& one) { return one.links().newest_agent(); },
@@ -338,9 +341,9 @@
             if (!agent ||
                 newest_agent_version.first <= store_.current().version())
                 return;
-            agents_.pull(*agent, store_.current(),
-                         [this](const configuration& newer)
-                         { store_.offer(newer); });
+            agents_.fetch_configuration(*agent, store_.current(),
+                                        [this](const configuration& newer)
+                                        { store_.offer(newer); });
         });
 }
 
@@ -377,24 +380,24 @@
             }
             peers_.set_own_report(report);
 
-            const auto others = peers_.demand();
+            const auto peer_demand = peers_.demand();
             std::vector<std::map<std::string, double>> shares(all.size());
             for (std::size_t i = 0; i < all.size(); ++i)
             {
                 for (const auto& [team, rate] : all[i])
                 {
-                    const auto known = others.find(team);
+                    const auto known = peer_demand.find(team);
                     const double floor =
                         demand_floor(quota_rate(team), entries);
                     const double share = quota_share(own_demand[team],
-                                                     known == others.end()
+                                                     known == peer_demand.end()
                                                          ? std::vector<double>{}
                                                          : known->second,
                                                      entries, floor);
-                    const double part =
+                    const double shard_share =
                         quota_share(rate, {own_demand[team] - rate}, all.size(),
                                     floor / static_cast<double>(all.size()));
-                    shares[i][team] = share * part;
+                    shares[i][team] = share * shard_share;
                 }
             }
             const double fallback =
@@ -460,8 +463,8 @@
         [this, done = std::move(done)](platform_outcome outcome)
         {
             is_writing_report_ = false;
-            // A repeat of a batch whose answer was lost goes
-            // under a new name; a line twice does no harm.
+            // A failed batch is written again under a new name, even if
+            // only the reply was lost; duplicate lines are harmless.
             if (outcome == platform_outcome::done)
                 report_.written();
             else
@@ -487,7 +490,8 @@
     const auto finish = [this, done = std::move(done)]
     {
         collect_notable_decisions();
-        // The lines collected above come through the shards' threads first.
+        // Shards and control thread run posted work in order, so this second
+        // query ends after the decisions have been collected.
         shards_.gather<bool>([](shard&) { return true; },
                              [this, done](const std::vector<bool>&)
                              { write_report(done); });
@@ -525,16 +529,16 @@
                                  std::vector<coordinator::kept_answer> answers,
                                  std::function<void()> done)
 {
-    std::vector<coordinator::kept_answer> part;
+    std::vector<coordinator::kept_answer> batch;
     std::size_t bytes = 0;
     while (!answers.empty() && bytes < max_handover_message_bytes)
     {
         bytes += answers.back().answer.body.size();
-        part.push_back(std::move(answers.back()));
+        batch.push_back(std::move(answers.back()));
         answers.pop_back();
     }
     peers_.send_kept_answers(
-        holder, settings_.incarnation, part,
+        holder, settings_.incarnation, batch,
         [this, holder, remaining = std::move(answers),
          done = std::move(done)](bool arrived) mutable
         {
@@ -552,14 +556,17 @@
     platform_.collect(page);
     peers_.collect(page);
     foreign_.collect(page);
-    page.gauge("configuration_version", "Version in force here",
+    page.gauge("configuration_version",
+               "Version of the configuration that the entry applies",
                static_cast<double>(store_.current().version()));
-    page.gauge("members", "VMs on the list, not gone",
+    page.gauge("members", "Known VMs, without removed ones",
                static_cast<double>(members_.members().size()));
-    page.gauge("report_lines", "Decisions that wait for the object store",
+    page.gauge("report_lines",
+               "Night report lines not yet written to the object store",
                static_cast<double>(report_.size()));
     page.counter("report_lines_summed_total",
-                 "Decisions summed up while the object store was away",
+                 "Night report lines merged into summaries while the object "
+                 "store was unavailable",
                  static_cast<double>(report_.summed_up()));
 }
 
--- a/src/glenhollow/entry/control_plane.hpp
+++ b/src/glenhollow/entry/control_plane.hpp
@@ -26,95 +26,95 @@
 namespace glenhollow
 {
 
-/// Settings of the control thread of an entry.
+/// Settings of an entry's control plane.
 struct control_plane_settings
 {
-    std::string entry = "entry";       ///< Its name.
-    std::string hall = "hall";         ///< Where it stands.
-    std::uint64_t incarnation = 0;     ///< Its start.
-    platform_client_settings platform; ///< Use of the platform.
-    std::vector<host_port> seeds;      ///< Entries to ask for members.
-    link_subset_settings subset;       ///< Limits of links.
-    std::string defaults;              ///< Statements in force without rows.
-    duration poll = seconds{1};        ///< Of head row and VM list, in change.
-    duration max_poll_interval =
-        seconds{5};                     ///< The same while nothing changes.
-    duration report = seconds{60};      ///< Between writes of the report.
-    night_report_settings night_report; ///< Its limits.
+    std::string entry = "entry";       ///< The entry's name.
+    std::string hall = "hall";         ///< The entry's hall.
+    std::uint64_t incarnation = 0;     ///< Random number of this process start.
+    platform_client_settings platform; ///< Platform client.
+    std::vector<host_port> seeds;      ///< Entries asked for members.
+    link_subset_settings subset;       ///< Entries that link to one agent.
+    std::string defaults;              ///< Default `set` statements.
+    duration poll_interval = seconds{1};     ///< Shortest poll interval.
+    duration max_poll_interval = seconds{5}; ///< Longest poll interval.
+    duration report_interval = seconds{60};  ///< Interval of report writes.
+    night_report_settings night_report;      ///< Night report limits.
 };
 
-/// Everything an entry does besides traffic: membership, configuration, links
-/// to other entries, adoption, quotas' shares, the night report. All on the
+/// Control plane of an entry: membership, configuration, links to other
+/// entries, adoption of jobs, quota shares and the night report. Runs on the
 /// control thread, inside an rpc_loop.
 class control_plane final
 {
 public:
     /// @param io The control thread's context.
-    /// @param shards The traffic threads; outlive this.
-    /// @param settings Limits.
+    /// @param shards The traffic threads; must outlive the control plane.
+    /// @param settings Settings of the entry.
     control_plane(boost::asio::io_context& io, shard_group& shards,
                   const control_plane_settings& settings);
     ~control_plane();
 
-    /// Adds the periodic parts to the tree.
-    /// @param parent Their supervisor.
+    /// Adds the periodic tasks of the control plane to a supervisor.
     void add_periodic_tasks(supervisor& parent);
 
-    /// Begins; called inside the rpc_loop.
+    /// Applies the stored configuration, starts the first poll and asks the
+    /// seeds for members. Call it inside the rpc_loop.
     void start();
 
-    /// Drops all connections; called inside the rpc_loop, before its end.
+    /// Closes all connections. Call it inside the rpc_loop, before the loop
+    /// ends.
     void close();
 
-    /// @return The control thread's context.
+    /// @return The control thread's I/O context.
     boost::asio::io_context& io() { return io_; }
 
-    /// Takes what another entry reported.
-    /// @param entry Its name.
-    /// @param report What it reported.
+    /// Handles the report of another entry. Fetches its configuration if that
+    /// is newer.
+    /// @param entry Name of the reporting entry.
     void handle_peer_report(const std::string& entry,
                             const peer_report& report);
 
-    /// @return Our name.
+    /// @return This entry's name.
     const std::string& entry() const { return settings_.entry; }
 
-    /// @return Our hall.
+    /// @return This entry's hall.
     const std::string& hall() const { return settings_.hall; }
 
-    /// @return Our incarnation.
+    /// @return The random number of this process start.
     std::uint64_t incarnation() const { return settings_.incarnation; }
 
-    /// @return The VMs.
+    /// @return The known VMs.
     membership& members() { return members_; }
 
-    /// @return The configuration.
+    /// @return The store of the cluster configuration.
     configuration_store& store() { return store_; }
 
-    /// @return Links to other entries.
+    /// @return The links to other entries.
     peer_links& peers() { return peers_; }
 
-    /// @return Submissions of other entries.
+    /// @return The handler of submissions that other entries issued.
     foreign_jobs& foreign() { return foreign_; }
 
-    /// @return The platform.
+    /// @return The platform client.
     platform_client& platform() { return platform_; }
 
-    /// @return What waits for the object store.
+    /// @return The report lines not yet written to the object store.
     night_report& report() { return report_; }
 
-    /// @return Waste over time.
+    /// @return Counts of overhead messages over the last day.
     const waste_history& waste() const { return waste_; }
 
     /// @return The traffic threads.
     shard_group& shards() { return shards_; }
 
-    /// @return Defaults of the settings, before rows of the configuration.
+    /// @return The default settings, without configuration rows.
     const tuning& defaults() const { return defaults_; }
 
-    /// @return The settings in force.
+    /// @return The defaults overridden by the configuration rows.
     tuning effective_settings() const;
 
-    /// @param handler Told of each newer configuration.
+    /// @param handler Called with each newer configuration.
     void
     on_configuration_changed(std::function<void(const configuration&)> handler)
     {
@@ -122,29 +122,30 @@
     }
 
     /// Adds a line to the night report.
-    /// @param kind What was decided.
-    /// @param why Why.
-    /// @param runner Which runner, may be empty.
-    /// @param by Which operator, may be empty.
-    /// @param detail May be empty.
+    /// @param kind Kind of the decision.
+    /// @param why Reason for the decision.
+    /// @param runner Name of the backend server; may be empty.
+    /// @param by Name of the operator; may be empty.
+    /// @param detail Free text; may be empty.
     void record_decision(decision_kind kind, reason why, std::string runner,
                          std::string by, std::string detail);
 
-    /// Begins a planned stop: peers are told, answers handed over.
-    /// @param done Called when all is handed over.
+    /// Hands the kept answers over to another entry, announces that entry to
+    /// the peers and writes the night report.
+    /// @param done Called when all steps have ended, also on failure.
     void hand_over_answers(std::function<void()> done);
 
-    /// Tells peers that no new jobs are taken here.
+    /// Announces to the peers that this entry takes no new jobs.
     void announce_stop();
 
-    /// @param page Gets the metrics of the control thread.
+    /// Adds the metrics of the control thread to a page.
     void collect(metric_page& page) const;
 
-    /// Writes the night report now.
-    /// @param done Called when it is written or cannot be.
+    /// Writes the pending lines of the night report to the object store.
+    /// @param done Called when the write has ended or was not needed.
     void write_report(std::function<void()> done);
 
-    /// @return How the kept reports of an incarnation are named.
+    /// @return The prefix of the object names of an incarnation's reports.
     static std::string report_prefix(const std::string& entry,
                                      std::uint64_t incarnation);
 
@@ -163,31 +164,29 @@
     void request_members_from_seeds();
     void fetch_configuration_from_agents();
 
-    boost::asio::io_context& io_;     ///< The control thread's context.
+    boost::asio::io_context& io_;     ///< The control thread's I/O context.
     shard_group& shards_;             ///< The traffic threads.
-    control_plane_settings settings_; ///< Limits.
-    tuning defaults_;                 ///< Before rows.
-    platform_client platform_;        ///< The platform.
-    membership members_;              ///< The VMs.
-    configuration_store store_;       ///< The configuration.
-    peer_links peers_;                ///< Other entries.
-    agent_control agents_;            ///< Rare calls to agents.
-    foreign_jobs foreign_;            ///< Others' submissions.
-    night_report report_;             ///< For the object store.
-    waste_history waste_;             ///< Over time.
-    std::function<void(const configuration&)>
-        configuration_handler_;            ///< May be empty.
-    std::uint64_t vm_revision_ = 0;        ///< Of the VM list.
-    std::uint64_t last_report_number_ = 0; ///< Of the next object.
-    bool is_writing_report_ = false;       ///< A write is under way.
-    instant next_poll_{};                  ///< When the platform is asked next.
-    duration poll_interval_ = seconds{1};  ///< Until the poll after that.
+    control_plane_settings settings_; ///< Settings of the entry.
+    tuning defaults_;                 ///< Settings without configuration rows.
+    platform_client platform_;        ///< Client of the platform.
+    membership members_;              ///< The known VMs.
+    configuration_store store_;       ///< The cluster configuration.
+    peer_links peers_;                ///< Links to other entries.
+    agent_control agents_;            ///< Control calls to agents.
+    foreign_jobs foreign_; ///< Submissions that other entries issued.
+    night_report report_;  ///< Lines not yet written.
+    waste_history waste_;  ///< Overhead messages.
+    std::function<void(const configuration&)> configuration_handler_;
+    std::uint64_t vm_revision_ = 0; ///< Last seen revision of the VM list.
+    std::uint64_t last_report_number_ = 0; ///< Last report object.
+    bool is_writing_report_ = false;       ///< A report write is in flight.
+    instant next_poll_{};                  ///< Time of the next platform poll.
+    duration poll_interval_ = seconds{1};  ///< Current poll interval.
     bool is_stopping_ = false;             ///< A planned stop has begun.
-    bool is_fetching_configuration_ =
-        false;           ///< A pull from an agent is under way.
-    std::string holder_; ///< Who has our answers.
-    std::set<std::string> notified_leaving_; ///< Agents told that they leave.
-    std::uint64_t quota_messages_ = 0;       ///< Spreads of quotas.
+    bool is_fetching_configuration_ = false; ///< Fetch in flight.
+    std::string holder_; ///< Entry that received the kept answers.
+    std::set<std::string> notified_leaving_; ///< Notified agents.
+    std::uint64_t quota_messages_ = 0;
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/entry_node.cpp
+++ b/src/glenhollow/entry/entry_node.cpp
@@ -29,20 +29,20 @@
 namespace
 {
 
-/// How long readyz says 503 before an idle entry stops listening, so that the
-/// balancer has seen it.
+/// Time that /readyz returns 503 before an idle entry stops listening, so that
+/// the load balancer removes it first.
 constexpr duration unready_period = seconds{1};
 constexpr duration stop_check_interval = milliseconds{20};
 constexpr duration fence_check_interval = milliseconds{200};
 
-/// Exit status of an entry whose jobs another entry has adopted.
+/// Exit status of an entry whose jobs another entry adopted.
 constexpr int exit_status_fenced = 3;
 
-/// What traffic threads read of the configuration; replaced as a whole.
+/// Configuration that traffic threads read; replaced as a whole.
 struct caller_policy
 {
-    job_limits limits;                         ///< Of jobs.
-    std::map<std::string, std::string> tokens; ///< Hashes by team.
+    job_limits limits;                         ///< Limits of a job.
+    std::map<std::string, std::string> tokens; ///< Hashes by account.
 };
 
 job_limits make_job_limits(const tuning& values)
@@ -61,7 +61,7 @@
 
 } // namespace
 
-/// Everything of the process.
+/// State of the entry process.
 struct entry_node::state final : entry_backend
 {
     explicit state(const entry_settings& s, operator_tokens t)
@@ -70,21 +70,21 @@
     {
     }
 
-    entry_settings settings;                          ///< Checked.
-    operator_tokens tokens;                           ///< Of operators.
-    std::uint64_t incarnation = random_incarnation(); ///< Of this start.
-    rpc_loop control;                                 ///< The control thread.
-    asio::signal_set signals;                         ///< SIGTERM and SIGINT.
-    supervisor root;                             ///< Of the supervisor tree.
-    std::unique_ptr<span_exporter> spans;        ///< May be null.
-    std::unique_ptr<rpc_listener> listener;      ///< Links from other entries.
-    std::unique_ptr<shard_group> shards;         ///< The traffic threads.
-    std::unique_ptr<control_plane> plane;        ///< On the control thread.
-    std::unique_ptr<operator_service> operators; ///< On the control thread.
+    entry_settings settings; ///< Validated settings.
+    operator_tokens tokens;  ///< Tokens of the operators.
+    std::uint64_t incarnation = random_incarnation(); ///< Start identifier.
+    rpc_loop control;                     ///< Event loop of the control thread.
+    asio::signal_set signals;             ///< Handles SIGTERM and SIGINT.
+    supervisor root;                      ///< Root of the supervision tree.
+    std::unique_ptr<span_exporter> spans; ///< Trace exporter; may be null.
+    std::unique_ptr<rpc_listener> listener; ///< Accepts peer links.
+    std::unique_ptr<shard_group> shards;    ///< The traffic threads.
+    std::unique_ptr<control_plane> plane;
+    std::unique_ptr<operator_service> operators; ///< Executes statements.
     std::atomic<bool> is_stopping{false};        ///< A planned stop has begun.
     std::atomic<std::shared_ptr<const caller_policy>> policy{
-        std::make_shared<const caller_policy>()}; ///< For traffic threads.
-    int exit_status = 0;                          ///< Of the process.
+        std::make_shared<const caller_policy>()}; ///< Read by traffic threads.
+    int exit_status = 0; ///< Exit status of the process.
 
     result<void> listen()
     {
@@ -120,7 +120,7 @@
         limits.seeds = settings.seeds;
         limits.subset = {settings.own_hall_links, settings.other_hall_links};
         limits.defaults = settings.defaults;
-        limits.report = settings.report;
+        limits.report_interval = settings.report;
         plane = std::make_unique<control_plane>(control.io(), *shards, limits);
         plane->on_configuration_changed([this](const configuration& newer)
                                         { update_caller_policy(newer); });
@@ -186,8 +186,8 @@
 
     std::vector<submission_id> issue_ids(std::size_t count) override
     {
-        // A traffic thread mints for itself: no lock, and the job stays on
-        // the thread that has its caller.
+        // The calling shard issues the ids, so that no lock is needed and the
+        // job stays on its caller's thread.
         auto* local_shard = shard::current();
         assert(local_shard);
         std::vector<submission_id> ids;
@@ -271,11 +271,12 @@
                                    all.merge(page);
                                plane->collect(all);
                                listener->collect(all);
-                               all.gauge("stopping", "1 during a planned stop",
+                               all.gauge("stopping",
+                                         "1 during a planned stop, otherwise 0",
                                          is_stopping ? 1 : 0);
                                all.counter(
                                    "restarts_total",
-                                   "Restarts of parts by the supervisor",
+                                   "Restarts of tasks by the supervisor",
                                    static_cast<double>(root.restarts()));
                                done(all.render());
                            });
@@ -301,7 +302,7 @@
                token_matches(bearer_token(authorization), known->second);
     }
 
-    // Stopping.
+    // Planned stop
 
     void await_signal()
     {
@@ -346,7 +347,7 @@
             });
     }
 
-    /// Answers who came during the handover, then ends.
+    /// Answers the requests that arrived during the handover, then ends.
     void finish_late_requests()
     {
         shards->gather<bool>(
--- a/src/glenhollow/entry/entry_node.hpp
+++ b/src/glenhollow/entry/entry_node.hpp
@@ -17,40 +17,40 @@
 /// Settings of one entry process.
 struct entry_settings
 {
-    std::string name = "entry";             ///< The entry VM's name.
-    std::string hall = "hall";              ///< Where it stands.
-    std::string address = "127.0.0.1";      ///< Where to listen, IP number.
-    std::uint16_t http_port = 0;            ///< Callers; 0: the kernel picks.
-    std::uint16_t rpc_port = 0;             ///< Entries; 0: the kernel picks.
-    std::string port_file;                  ///< Gets `HTTP RPC`, if not empty.
-    host_port platform;                     ///< The platform's services.
-    std::vector<host_port> seeds;           ///< Entries to ask for members.
-    std::uint32_t threads = 1;              ///< Traffic threads.
-    std::string operator_tokens;            ///< NAME:TOKEN[,NAME:TOKEN...].
-    std::string defaults;                   ///< `set` statements, one a line.
-    std::string trace_file;                 ///< Spans go here, if not empty.
-    double trace_share = 0;                 ///< Of traces begun here.
-    std::size_t max_body_bytes = 8UL << 20; ///< Of one request.
-    std::size_t ring_records = 262'144;     ///< Decisions kept, per thread.
-    std::size_t own_hall_links = 4;   ///< Entries a runner has in its hall.
-    std::size_t other_hall_links = 2; ///< Entries it has in other halls.
-    duration report = seconds{60};    ///< Between writes of the report.
-    double platform_reads_per_s = 6;  ///< A second, at most.
-    double platform_writes_per_s = 2; ///< A second, at most.
+    std::string name = "entry";        ///< The entry VM's name.
+    std::string hall = "hall";         ///< The entry's hall.
+    std::string address = "127.0.0.1"; ///< IP address to listen on.
+    std::uint16_t http_port = 0;       ///< Port for callers; 0: any.
+    std::uint16_t rpc_port = 0;        ///< Port for entries; 0: any.
+    std::string port_file;             ///< Receives both ports; may be empty.
+    host_port platform;                ///< Address of the platform's services.
+    std::vector<host_port> seeds;      ///< Entries asked for members.
+    std::uint32_t threads = 1;         ///< Number of traffic threads.
+    std::string operator_tokens;       ///< `NAME:TOKEN[,NAME:TOKEN...]`.
+    std::string defaults;              ///< `set` statements, one a line.
+    std::string trace_file;            ///< Receives spans; may be empty.
+    double trace_share = 0;            ///< Sampled share of traces, 0 to 1.
+    std::size_t max_body_bytes = 8UL << 20; ///< Largest request body in bytes.
+    std::size_t ring_records = 262'144; ///< Decisions kept per traffic thread.
+    std::size_t own_hall_links = 4;     ///< Entries per agent, same hall.
+    std::size_t other_hall_links = 2;   ///< Entries per agent, other halls.
+    duration report = seconds{60};      ///< Interval of report writes.
+    double platform_reads_per_s = 6;    ///< Rate limit of platform reads.
+    double platform_writes_per_s = 2;   ///< Rate limit of platform writes.
 };
 
-/// One entry process: a control thread and traffic threads.
+/// One entry process: a control thread and one or more traffic threads.
 class entry_node final
 {
 public:
-    /// @param settings Checked settings.
-    /// @return The process, listening, or why it cannot.
+    /// @param settings Validated settings.
+    /// @return A node that listens on its ports, or the error.
     static result<std::unique_ptr<entry_node>>
     create(const entry_settings& settings);
     ~entry_node();
 
-    /// Runs until a planned stop has ended or a part has failed.
-    /// @return The exit status.
+    /// Runs until a planned stop has ended or a supervised task has failed.
+    /// @return The exit status of the process.
     int run();
 
 private:
--- a/src/glenhollow/entry/operator_service.cpp
+++ b/src/glenhollow/entry/operator_service.cpp
@@ -70,63 +70,63 @@
 void operator_service::run(const std::string& text, const std::string& by,
                            statement_scope scope, answer_callback done)
 {
-    auto on =
+    auto ctx =
         std::make_shared<context>(context{text, by, scope, std::move(done)});
     const auto parsed = parse_statement(text, dialect::operators);
     if (!parsed)
-        return on->refuse({400, reason::malformed, parsed.error().text()});
+        return ctx->refuse({400, reason::malformed, parsed.error().text()});
     std::visit(
-        [this, &on](const auto& one)
+        [this, &ctx](const auto& one)
         {
-            // The operators' dialect has no other statements.
-            if constexpr (requires { this->execute(one, on); })
-                execute(one, on);
+            // Statements without an overload are not in the operators' dialect.
+            if constexpr (requires { this->execute(one, ctx); })
+                execute(one, ctx);
         },
         parsed.value());
 }
 
-void operator_service::execute(const help_statement&, const context_ptr& on)
+void operator_service::execute(const help_statement&, const context_ptr& ctx)
 {
     row_table rows;
     std::istringstream lines{std::string(statement_help())};
     std::string line;
     while (std::getline(lines, line))
         rows.add({{"statement", line}});
-    on->done(rows.to_answer());
+    ctx->done(rows.to_answer());
 }
 
 void operator_service::execute(const show_statement& show,
-                               const context_ptr& on)
+                               const context_ptr& ctx)
 {
     static const std::map<show_target, row_merge_rules> merge_rules{
         {show_target::runners, {"name", {"in_flight", "started", "refused"}}},
         {show_target::entries, {"", {}}},
         {show_target::teams, {"name", {"in_use"}, true}},
         {show_target::jobs, {"", {}}}};
-    const auto answer_rows = [on, show](row_table rows)
+    const auto answer_rows = [ctx, show](row_table rows)
     {
         const auto filtered = rows.filter(show.where);
         if (!filtered)
-            return on->refuse(filtered.error());
-        on->done(rows.to_answer());
+            return ctx->refuse(filtered.error());
+        ctx->done(rows.to_answer());
     };
     local_rows(show.target,
-               [this, on, show, answer_rows](row_table own)
+               [this, ctx, show, answer_rows](row_table own)
                {
                    const auto rules = merge_rules.find(show.target);
                    if (rules == merge_rules.end())
                        return answer_rows(std::move(own));
-                   merge_peer_rows(on, std::move(own), rules->second,
+                   merge_peer_rows(ctx, std::move(own), rules->second,
                                    answer_rows);
                });
 }
 
-void operator_service::merge_peer_rows(const context_ptr& on, row_table own,
+void operator_service::merge_peer_rows(const context_ptr& ctx, row_table own,
                                        const row_merge_rules& rules,
                                        std::function<void(row_table)> done)
 {
     const auto peers = plane_.peers().reachable();
-    if (on->scope == statement_scope::this_entry || peers.empty())
+    if (ctx->scope == statement_scope::this_entry || peers.empty())
         return done(std::move(own));
     struct collection
     {
@@ -135,13 +135,13 @@
     };
     auto all =
         std::make_shared<collection>(collection{std::move(own), peers.size()});
-    // Conditions are applied to the joined rows, so peers are asked for all.
-    const auto where = on->text.find(" where ");
-    const std::string text = on->text.substr(0, where);
+    // Conditions apply to the merged rows, so peers must return all rows.
+    const auto where = ctx->text.find(" where ");
+    const std::string text = ctx->text.substr(0, where);
     for (const auto& peer : peers)
     {
         plane_.peers().operate(
-            peer, text, on->by,
+            peer, text, ctx->by,
             [all, rules, done](std::optional<job_answer> answer)
             {
                 if (answer)
@@ -353,23 +353,24 @@
 }
 
 void operator_service::change(std::map<std::string, std::string> rows,
-                              const context_ptr& on)
+                              const context_ptr& ctx)
 {
-    std::string told = on->text;
-    // A secret is neither logged nor kept.
-    if (const auto at = told.find(" token "); at != std::string::npos)
-        told = told.substr(0, at) + " token (hidden)";
+    std::string logged_statement = ctx->text;
+    // The plain token must appear neither in logs nor in stored statements.
+    if (const auto at = logged_statement.find(" token ");
+        at != std::string::npos)
+        logged_statement = logged_statement.substr(0, at) + " token (hidden)";
     plane_.store().change(
-        std::move(rows), on->by, told,
-        [this, on, told](const change_answer& answer)
+        std::move(rows), ctx->by, logged_statement,
+        [this, ctx, logged_statement](const change_answer& answer)
         {
             log_change(log_level::info, "configuration_change",
-                       {{"by", on->by},
-                        {"statement", told},
+                       {{"by", ctx->by},
+                        {"statement", logged_statement},
                         {"answer", answer.text()}});
             plane_.record_decision(decision_kind::changed,
-                                   reason::operator_command, "", on->by,
-                                   told + ": " + answer.text());
+                                   reason::operator_command, "", ctx->by,
+                                   logged_statement + ": " + answer.text());
             json::object row{{"answer", answer.text()},
                              {"state", to_name(answer.state)},
                              {"change", answer.id}};
@@ -381,28 +382,28 @@
             if (answer.state == change_state::refused)
                 reply = api_problem{409, reason::body_conflict, answer.text()}
                             .to_answer();
-            on->done(std::move(reply));
+            ctx->done(std::move(reply));
         });
 }
 
 void operator_service::execute(const show_change_statement& show,
-                               const context_ptr& on)
+                               const context_ptr& ctx)
 {
-    // The entry that took the change knows most about it.
+    // The entry that accepted the change knows its state best.
     const auto owner = show.id.substr(0, show.id.find('.'));
-    if (owner != plane_.entry() && on->scope == statement_scope::all_entries &&
+    if (owner != plane_.entry() && ctx->scope == statement_scope::all_entries &&
         plane_.peers().report_of(owner))
         return plane_.peers().operate(
-            owner, on->text, on->by,
-            [on](std::optional<job_answer> answer)
+            owner, ctx->text, ctx->by,
+            [ctx](std::optional<job_answer> answer)
             {
                 if (answer)
-                    return on->done(std::move(*answer));
-                on->refuse({503, reason::entry_unreachable,
-                            "the entry that took the change does not answer"});
+                    return ctx->done(std::move(*answer));
+                ctx->refuse({503, reason::entry_unreachable,
+                             "the entry that took the change does not answer"});
             });
     plane_.store().ask(show.id,
-                       [on](const change_answer& answer)
+                       [ctx](const change_answer& answer)
                        {
                            json::object row{{"change", answer.id},
                                             {"state", to_name(answer.state)},
@@ -411,42 +412,42 @@
                                row["version"] = answer.version;
                            row_table rows;
                            rows.add(std::move(row));
-                           on->done(rows.to_answer());
+                           ctx->done(rows.to_answer());
                        });
 }
 
 void operator_service::execute(const set_quota_statement& set,
-                               const context_ptr& on)
+                               const context_ptr& ctx)
 {
     if (set.quota < min_quota || set.quota > max_quota)
-        return on->refuse(
+        return ctx->refuse(
             range_problem("quota", "a number in 0..1000000 tasks/s"));
     std::ostringstream text;
     text << set.quota;
-    change({{row_key(row_kind::quota, set.team), text.str()}}, on);
+    change({{row_key(row_kind::quota, set.team), text.str()}}, ctx);
 }
 
 void operator_service::execute(const set_weight_statement& set,
-                               const context_ptr& on)
+                               const context_ptr& ctx)
 {
     if (set.weight < min_weight || set.weight > max_weight)
-        return on->refuse(range_problem("weight", "a number in 0.01..1000"));
+        return ctx->refuse(range_problem("weight", "a number in 0.01..1000"));
     std::ostringstream text;
     text << set.weight;
-    change({{row_key(row_kind::weight, set.team), text.str()}}, on);
+    change({{row_key(row_kind::weight, set.team), text.str()}}, ctx);
 }
 
 void operator_service::execute(const set_token_statement& set,
-                               const context_ptr& on)
+                               const context_ptr& ctx)
 {
     constexpr std::size_t min_token_length = 8;
     if (set.token.size() < min_token_length)
-        return on->refuse(range_problem("token", "8 characters or more"));
-    change({{row_key(row_kind::token, set.team), hash_token(set.token)}}, on);
+        return ctx->refuse(range_problem("token", "8 characters or more"));
+    change({{row_key(row_kind::token, set.team), hash_token(set.token)}}, ctx);
 }
 
 void operator_service::execute(const unset_team_statement& unset,
-                               const context_ptr& on)
+                               const context_ptr& ctx)
 {
     std::map<std::string, std::string> rows;
     for (const auto kind : {row_kind::quota, row_kind::weight, row_kind::token})
@@ -456,12 +457,12 @@
             rows[key] = "";
     }
     if (rows.empty())
-        return on->refuse(
+        return ctx->refuse(
             {404, reason::malformed, "team " + unset.team + " has no row"});
-    change(std::move(rows), on);
+    change(std::move(rows), ctx);
 }
 
-void operator_service::execute(const set_statement& set, const context_ptr& on)
+void operator_service::execute(const set_statement& set, const context_ptr& ctx)
 {
     const auto* setting = find_setting(set.key);
     if (!setting)
@@ -469,35 +470,35 @@
         std::string names;
         for (const auto& one : setting_table())
             names.append(names.empty() ? "" : ", ").append(one.name);
-        return on->refuse(
+        return ctx->refuse(
             {400, reason::malformed,
              "there is no setting '" + set.key + "'; there are " + names});
     }
     tuning scratch;
     const auto is_valid = set_value(*setting, set.value, scratch);
     if (!is_valid)
-        return on->refuse({400, reason::malformed, is_valid.error().text});
-    change({{row_key(row_kind::setting, set.key), set.value}}, on);
+        return ctx->refuse({400, reason::malformed, is_valid.error().text});
+    change({{row_key(row_kind::setting, set.key), set.value}}, ctx);
 }
 
 void operator_service::execute(const drain_statement& drain,
-                               const context_ptr& on)
+                               const context_ptr& ctx)
 {
     const auto* runner = plane_.members().find(drain.runner);
     const auto key = row_key(row_kind::drain, drain.runner);
     const bool drained = plane_.store().current().find(key) != nullptr;
     const bool known = runner && runner->role == member_role::runner;
     if (!known && !(drained && !drain.on))
-        return on->refuse(
+        return ctx->refuse(
             {404, reason::malformed, "there is no runner " + drain.runner});
-    change({{key, drain.on ? on->by : ""}}, on);
+    change({{key, drain.on ? ctx->by : ""}}, ctx);
 }
 
 void operator_service::execute(const create_job_statement& create,
-                               const context_ptr& on)
+                               const context_ptr& ctx)
 {
     if (create.tasks < 1 || create.tasks > max_created_tasks)
-        return on->refuse(range_problem("tasks", "a whole number in 1..1000"));
+        return ctx->refuse(range_problem("tasks", "a whole number in 1..1000"));
     json::array tasks;
     boost::system::error_code ec;
     const auto payload = json::parse(create.payload, ec);
@@ -507,90 +508,92 @@
         json::object{{"team", create.team}, {"tasks", std::move(tasks)}});
     auto request = parse_job(body, backend_.limits());
     if (!request)
-        return on->refuse(request.error());
+        return ctx->refuse(request.error());
     if (backend_.stopping())
-        return on->refuse({503, reason::stopping, "this entry is stopping",
-                           verdict::not_run, seconds{1}});
+        return ctx->refuse({503, reason::stopping, "this entry is stopping",
+                            verdict::not_run, seconds{1}});
     auto job = std::make_shared<routed_job>();
     job->body = body;
     job->request = std::move(request.value());
-    plane_.shards().at(0).post([this, on, job](shard&)
-                               { submit_created_job(job, on); });
+    plane_.shards().at(0).post([this, ctx, job](shard&)
+                               { submit_created_job(job, ctx); });
 }
 
 void operator_service::submit_created_job(
-    const std::shared_ptr<routed_job>& job, const context_ptr& on)
+    const std::shared_ptr<routed_job>& job, const context_ptr& ctx)
 {
     job->id = backend_.issue_ids(1).front();
     const auto id = job->id;
-    // The operator is told the id at once, or that it was refused at once.
-    auto told = std::make_shared<bool>(false);
+    // Returns the id once the job is admitted, or the error if it is refused
+    // immediately; the job's result is ignored.
+    auto is_answered = std::make_shared<bool>(false);
     backend_.submit(std::move(*job),
-                    [on, told](job_answer answer)
+                    [ctx, is_answered](job_answer answer)
                     {
-                        if (!answer.is_problem() || std::exchange(*told, true))
+                        if (!answer.is_problem() ||
+                            std::exchange(*is_answered, true))
                             return;
-                        on->done(std::move(answer));
+                        ctx->done(std::move(answer));
                     });
     backend_.lookup(
         id,
-        [on, told, id](const job_answer& answer)
+        [ctx, is_answered, id](const job_answer& answer)
         {
-            if (answer.is_problem() || std::exchange(*told, true))
+            if (answer.is_problem() || std::exchange(*is_answered, true))
                 return;
             row_table rows;
             rows.add({{"submission", id.to_string()}, {"state", "running"}});
-            on->done(rows.to_answer());
+            ctx->done(rows.to_answer());
         });
 }
 
 bool operator_service::forward_to_issuer(const submission_id& id,
-                                         const context_ptr& on)
+                                         const context_ptr& ctx)
 {
     const auto* report = plane_.peers().report_of(id.entry);
     const bool issued_elsewhere = id.incarnation != plane_.incarnation() &&
                                   report &&
                                   report->incarnation == id.incarnation &&
-                                  on->scope == statement_scope::all_entries;
+                                  ctx->scope == statement_scope::all_entries;
     if (!issued_elsewhere)
         return false;
     plane_.peers().operate(
-        id.entry, on->text, on->by,
-        [on](std::optional<job_answer> answer)
+        id.entry, ctx->text, ctx->by,
+        [ctx](std::optional<job_answer> answer)
         {
             if (answer)
-                return on->done(std::move(*answer));
-            on->refuse({503, reason::entry_unreachable,
-                        "the entry of that submission does not answer"});
+                return ctx->done(std::move(*answer));
+            ctx->refuse({503, reason::entry_unreachable,
+                         "the entry of that submission does not answer"});
         });
     return true;
 }
 
 void operator_service::execute(const cancel_statement& cancel,
-                               const context_ptr& on)
+                               const context_ptr& ctx)
 {
     const auto id = submission_id::parse(cancel.id);
     if (!id)
-        return on->refuse({400, reason::malformed,
-                           "'" + cancel.id + "' is not a submission id"});
-    if (forward_to_issuer(*id, on))
+        return ctx->refuse({400, reason::malformed,
+                            "'" + cancel.id + "' is not a submission id"});
+    if (forward_to_issuer(*id, ctx))
         return;
     if (id->incarnation != plane_.incarnation())
-        return on->refuse({404, reason::unknown_submission,
-                           "no entry that is up has that submission"});
+        return ctx->refuse({404, reason::unknown_submission,
+                            "no entry that is up has that submission"});
     plane_.shards()
         .owner_of(id->sequence)
         .post(
-            [id = *id, on](shard& one)
+            [id = *id, ctx](shard& one)
             {
                 const auto cancelled = one.jobs().cancel(id.sequence);
                 one.schedule_dispatch();
                 if (!cancelled)
-                    return on->refuse(cancelled.error());
+                    return ctx->refuse(cancelled.error());
                 row_table rows;
                 rows.add({{"submission", id.to_string()},
                           {"cancelled_tasks", cancelled.value()}});
-                on->done(rows.to_answer());
+                ctx->done(rows.to_answer());
             });
 }
 
--- a/src/glenhollow/entry/operator_service_context.hpp
+++ b/src/glenhollow/entry/operator_service_context.hpp
@@ -6,23 +6,23 @@
 #include <cstdint>
 #include <string>
 
-/// What the parts of operator_service share; nothing else includes it.
+/// Private to the source files of operator_service.
 namespace glenhollow
 {
 
-/// One statement on its way.
+/// One statement in execution.
 struct operator_service::context
 {
-    std::string text;      ///< As written.
-    std::string by;        ///< Which operator.
-    statement_scope scope; ///< Whom it asks.
-    answer_callback done;  ///< Told the answer.
+    std::string text;      ///< Text of the statement.
+    std::string by;        ///< Name of the operator.
+    statement_scope scope; ///< Entries that take part in the answer.
+    answer_callback done;  ///< Called with the answer.
 
     void refuse(const api_problem& problem) const { done(problem.to_answer()); }
 };
 
-/// @param nanoseconds Since 1970.
-/// @return The time of day, in UTC, with milliseconds.
+/// Formats a time as ISO 8601 in UTC with milliseconds.
+/// @param nanoseconds Time since the Unix epoch.
 std::string format_utc(std::int64_t nanoseconds);
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/operator_service_why.cpp
+++ b/src/glenhollow/entry/operator_service_why.cpp
@@ -1,5 +1,5 @@
-// Why a decision was taken: from the rings of this entry and from the reports
-// in the object store.
+// The `why` statements: explain decisions from the decision rings of this entry
+// and from the night reports in the object store.
 #include "glenhollow/entry/operator_service_context.hpp"
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// Objects read for one question, newest last.
+/// Maximum number of report objects read for one statement.
 constexpr std::size_t max_report_objects = 200;
 
 json::object to_row(const report_line& line)
@@ -30,7 +30,7 @@
     return row;
 }
 
-/// One decision of a ring in words.
+/// Describes a decision in one sentence.
 std::string describe(const decision_record& record, const std::string& runner)
 {
     const std::string why(to_name(record.why));
@@ -64,16 +64,17 @@
     return std::string(to_name(record.kind)) + " " + runner + " because " + why;
 }
 
-/// Records of one shard with the names of their runners.
+/// A decision and the name of its backend server.
 struct named_record
 {
-    decision_record record; ///< The decision.
-    std::string runner;     ///< May be empty.
+    decision_record record;
+    std::string runner; ///< Name of the backend server; may be empty.
 };
 
 using named_records = std::vector<named_record>;
 
-/// @return Decisions about a submission, or about runners for sequence 0.
+/// @return The decisions about a submission, or, for sequence 0, about backend
+/// servers.
 named_records records_of(shard& one, std::uint64_t sequence)
 {
     named_records found;
@@ -89,7 +90,7 @@
     return found;
 }
 
-/// Whether a decision belongs to a question.
+/// @return Whether a decision helps to answer a `why` statement.
 bool is_relevant(const decision_record& record, const why_statement& why)
 {
     const bool concerns_task = record.kind == decision_kind::placed ||
@@ -105,7 +106,7 @@
     case why_target::drained:
         break;
     }
-    // A failure is explained by all that ended badly.
+    // A failure is explained by the tasks that were retried or did not run.
     return !concerns_task || record.what != verdict::ran ||
            record.kind == decision_kind::retried;
 }
@@ -122,34 +123,35 @@
 
 } // namespace
 
-void operator_service::execute(const why_statement& why, const context_ptr& on)
+void operator_service::execute(const why_statement& why, const context_ptr& ctx)
 {
     if (why.target == why_target::drained)
-        return explain_drain(why.subject, on);
+        return explain_drain(why.subject, ctx);
     const auto id = submission_id::parse(why.subject);
     if (!id)
-        return on->refuse({400, reason::malformed,
-                           "'" + why.subject + "' is not a submission id"});
-    if (forward_to_issuer(*id, on))
+        return ctx->refuse({400, reason::malformed,
+                            "'" + why.subject + "' is not a submission id"});
+    if (forward_to_issuer(*id, ctx))
         return;
     if (id->incarnation == plane_.incarnation())
-        return explain_locally(why, *id, on);
-    // The entry is no more; what it decided against callers is kept.
+        return explain_locally(why, *id, ctx);
+    // The issuing process has ended; the object store keeps its refusals and
+    // failures.
     const auto subject = why.subject;
     explain_from_reports(
-        control_plane::report_prefix(id->entry, id->incarnation), on, {},
+        control_plane::report_prefix(id->entry, id->incarnation), ctx, {},
         [subject](const report_line& line)
         { return line.submission == subject; });
 }
 
 void operator_service::explain_locally(const why_statement& why,
                                        const submission_id& id,
-                                       const context_ptr& on)
+                                       const context_ptr& ctx)
 {
     plane_.shards()
         .owner_of(id.sequence)
         .post(
-            [why, id, on](shard& one)
+            [why, id, ctx](shard& one)
             {
                 row_table rows;
                 for (const auto& record : records_of(one, id.sequence))
@@ -158,15 +160,15 @@
                         rows.add(to_row(record));
                 }
                 if (rows.size() == 0)
-                    return on->refuse(
+                    return ctx->refuse(
                         {404, reason::unknown_submission,
                          "nothing is kept about that submission"});
-                on->done(rows.to_answer());
+                ctx->done(rows.to_answer());
             });
 }
 
 void operator_service::explain_drain(const std::string& runner,
-                                     const context_ptr& on)
+                                     const context_ptr& ctx)
 {
     row_table rows;
     const auto* row =
@@ -193,7 +195,7 @@
             if (line.runner == runner)
                 rows.add(to_row(line));
         });
-    explain_from_reports("night/", on, std::move(rows),
+    explain_from_reports("night/", ctx, std::move(rows),
                          [runner](const report_line& line) {
                              return line.runner == runner &&
                                     line.kind != decision_kind::refused;
@@ -201,61 +203,61 @@
 }
 
 void operator_service::explain_from_reports(
-    const std::string& prefix, const context_ptr& on, row_table found,
+    const std::string& prefix, const context_ptr& ctx, row_table found,
     std::function<bool(const report_line&)> is_wanted)
 {
     auto rows = std::make_shared<row_table>(std::move(found));
     plane_.platform().list_objects(
         prefix,
-        [this, on, rows, is_wanted = std::move(is_wanted)](
+        [this, ctx, rows, is_wanted = std::move(is_wanted)](
             platform_outcome outcome, std::vector<std::string> names)
         {
             if (outcome != platform_outcome::done && rows->size() == 0)
-                return on->refuse({503, reason::entry_unreachable,
-                                   "the object store with the kept decisions "
-                                   "is away",
-                                   verdict::not_run, seconds{5}});
+                return ctx->refuse({503, reason::entry_unreachable,
+                                    "the object store with the kept decisions "
+                                    "is away",
+                                    verdict::not_run, seconds{5}});
             if (names.size() > max_report_objects)
                 names.erase(names.begin(), names.end() - max_report_objects);
-            read_reports(std::move(names), on, rows, is_wanted);
+            read_reports(std::move(names), ctx, rows, is_wanted);
         });
 }
 
 void operator_service::read_reports(
-    std::vector<std::string> names, const context_ptr& on,
+    std::vector<std::string> names, const context_ptr& ctx,
     std::shared_ptr<row_table> found,
     std::function<bool(const report_line&)> is_wanted)
 {
     if (names.empty())
     {
         if (found->size() == 0)
-            return on->refuse({404, reason::unknown_submission,
-                               "nothing is kept about that"});
+            return ctx->refuse({404, reason::unknown_submission,
+                                "nothing is kept about that"});
         found->sort_by("at");
-        return on->done(found->to_answer());
+        return ctx->done(found->to_answer());
     }
     const auto name = names.back();
     names.pop_back();
-    plane_.platform().read_object(name,
-                                  [this, names = std::move(names), on, found,
-                                   is_wanted = std::move(is_wanted)](
-                                      platform_outcome, std::string content)
-                                  {
-                                      std::istringstream lines(content);
-                                      std::string text;
-                                      while (std::getline(lines, text))
-                                      {
-                                          const auto line =
-                                              report_line::from_json(text);
-                                          if (line && is_wanted(*line))
-                                              found->add(to_row(*line));
-                                      }
-                                      read_reports(names, on, found, is_wanted);
-                                  });
+    plane_.platform().read_object(
+        name,
+        [this, names = std::move(names), ctx, found,
+         is_wanted = std::move(is_wanted)](platform_outcome,
+                                           std::string content)
+        {
+            std::istringstream lines(content);
+            std::string text;
+            while (std::getline(lines, text))
+            {
+                const auto line = report_line::from_json(text);
+                if (line && is_wanted(*line))
+                    found->add(to_row(*line));
+            }
+            read_reports(names, ctx, found, is_wanted);
+        });
 }
 
 void operator_service::execute(const why_waste_statement& why,
-                               const context_ptr& on)
+                               const context_ptr& ctx)
 {
     const auto counts =
         plane_.waste().counts_within(process_clock().now(), why.since);
@@ -270,9 +272,9 @@
                   {"per_1000_tasks", rounded(share, 2)},
                   {"cause", waste_causes[i]}});
     }
-    merge_peer_rows(on, std::move(rows),
-                    {"name", {"messages", "per_1000_tasks"}},
-                    [on](const row_table& all) { on->done(all.to_answer()); });
+    merge_peer_rows(
+        ctx, std::move(rows), {"name", {"messages", "per_1000_tasks"}},
+        [ctx](const row_table& all) { ctx->done(all.to_answer()); });
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/peer_links.cpp
+++ b/src/glenhollow/entry/peer_links.cpp
@@ -19,7 +19,7 @@
 /// One link to another entry.
 struct peer_links::link
 {
-    /// Everything that dies with the connection.
+    /// State that is destroyed with the connection.
     struct connection
     {
         connection(tcp::socket socket, stream_stats& bytes)
@@ -28,22 +28,22 @@
         {
         }
 
-        rpc_connection rpc;      ///< The RPC system.
-        wire::Peer::Client peer; ///< Its bootstrap.
-        background_tasks calls;  ///< In flight.
+        rpc_connection rpc;      ///< RPC system on the socket.
+        wire::Peer::Client peer; ///< Bootstrap capability of the peer.
+        background_tasks calls;  ///< Calls in flight.
     };
 
-    member entry;                 ///< Whom it links to.
-    std::uint64_t generation = 0; ///< Of the connection.
-    kj::Own<connection> current;  ///< Null while there is none.
-    bool connecting = false;      ///< A connection is being made.
-    bool up = false;              ///< An exchange was answered.
-    bool exchanging = false;      ///< One is under way.
-    std::shared_ptr<int> pending_calls = std::make_shared<int>(0); ///< Calls.
-    instant last_exchange{}; ///< When the last one left.
-    instant retry_at{};      ///< When to connect again.
-    duration backoff{};      ///< Before the next attempt.
-    peer_report report;      ///< The last one.
+    member entry;                 ///< The peer.
+    std::uint64_t generation = 0; ///< Number of the connection.
+    kj::Own<connection> current;  ///< Null while disconnected.
+    bool connecting = false;      ///< A connection attempt is in progress.
+    bool up = false;              ///< The peer has answered an exchange.
+    bool exchanging = false;      ///< An exchange is in flight.
+    std::shared_ptr<int> pending_calls = std::make_shared<int>(0);
+    instant last_exchange{}; ///< Time the last exchange was sent.
+    instant retry_at{};      ///< Time of the next connection attempt.
+    duration backoff{};      ///< Delay after the next failure.
+    peer_report report;      ///< Last report of the peer.
 };
 
 peer_links::peer_links(boost::asio::io_context& io, const clock_source& clock,
@@ -63,12 +63,12 @@
             listed.emplace(one.name, &one);
     }
     std::erase_if(links_,
-                  [&](const auto& known)
+                  [&](const auto& existing)
                   {
-                      const auto listed_entry = listed.find(known.first);
+                      const auto listed_entry = listed.find(existing.first);
                       return listed_entry == listed.end() ||
                              listed_entry->second->rpc.to_string() !=
-                                 known.second->entry.rpc.to_string();
+                                 existing.second->entry.rpc.to_string();
                   });
     for (const auto& [name, one] : listed)
     {
@@ -90,11 +90,11 @@
         io_, peer_link.entry.rpc,
         [this, name = peer_link.entry.name, generation](connect_result attempt)
         {
-            const auto known = links_.find(name);
-            if (known == links_.end() ||
-                known->second->generation != generation)
+            const auto found = links_.find(name);
+            if (found == links_.end() ||
+                found->second->generation != generation)
                 return;
-            auto& peer_link = *known->second;
+            auto& peer_link = *found->second;
             peer_link.connecting = false;
             if (!attempt.socket)
                 return on_link_broken(peer_link, generation);
@@ -107,7 +107,7 @@
     peer_link.current = kj::heap<link::connection>(std::move(socket), bytes_);
     const auto name = peer_link.entry.name;
     const auto generation = peer_link.generation;
-    // An idle link has no call whose failure would tell.
+    // An idle link has no call whose failure would show the disconnect.
     peer_link.current->calls.add(peer_link.current->rpc.on_disconnect().then(
         [this, name, generation] { on_disconnected(name, generation); }));
     exchange(peer_link);
@@ -116,9 +116,9 @@
 void peer_links::on_disconnected(const std::string& entry,
                                  std::uint64_t generation)
 {
-    const auto known = links_.find(entry);
-    if (known != links_.end())
-        on_link_broken(*known->second, generation);
+    const auto found = links_.find(entry);
+    if (found != links_.end())
+        on_link_broken(*found->second, generation);
 }
 
 void peer_links::on_link_broken(link& peer_link, std::uint64_t generation)
@@ -160,11 +160,11 @@
     peer_link.current->calls.add(request.send().then(
         [this, name, generation](auto&& reply)
         {
-            const auto known = links_.find(name);
-            if (known == links_.end() ||
-                known->second->generation != generation)
+            const auto found = links_.find(name);
+            if (found == links_.end() ||
+                found->second->generation != generation)
                 return;
-            auto& from = *known->second;
+            auto& from = *found->second;
             from.exchanging = false;
             from.backoff = settings_.initial_backoff;
             if (!std::exchange(from.up, true))
@@ -180,7 +180,7 @@
 
 void peer_links::set_own_report(peer_report own_report)
 {
-    // Demand that moved by little is no news.
+    // Small changes of demand do not cause an exchange.
     const auto demand_changed = [](const std::vector<team_demand>& before,
                                    const std::vector<team_demand>& after)
     {
@@ -210,10 +210,10 @@
 
 void peer_links::announce()
 {
-    for (auto& [name, known] : links_)
+    for (auto& [name, link_ptr] : links_)
     {
-        known->exchanging = false;
-        exchange(*known);
+        link_ptr->exchanging = false;
+        exchange(*link_ptr);
     }
     report_changed_ = false;
 }
@@ -221,15 +221,15 @@
 void peer_links::tick()
 {
     const instant now = clock_.now();
-    // News costs a message to each peer, so with many peers it goes out less
-    // often and the bytes of a node stay flat.
+    // A changed report costs one exchange per peer, so the interval grows with
+    // the number of peers to bound the traffic of a node.
     const auto min_exchange_interval = std::max<duration>(
         settings_.min_exchange_interval,
         settings_.exchange_interval_per_peer * static_cast<int>(links_.size()));
     bool report_pending = false;
-    for (auto& [name, known] : links_)
+    for (auto& [name, link_ptr] : links_)
     {
-        auto& peer_link = *known;
+        auto& peer_link = *link_ptr;
         if (peer_link.exchanging &&
             now - peer_link.last_exchange > settings_.reply_timeout)
         {
@@ -242,9 +242,8 @@
         if (!peer_link.up || peer_link.exchanging)
             continue;
         const auto since = now - peer_link.last_exchange;
-        // News is told to each peer once, a little later than it came, so
-        // that the reply brings the peer's own.
-        // A call that waits at a peer that hangs must not wait for ever.
+        // An exchange with its timeout detects a peer that hangs while calls to
+        // it are pending.
         const bool awaiting_reply =
             *peer_link.pending_calls > 0 && since > settings_.probe_after;
         const bool is_heartbeat_due =
@@ -260,8 +259,8 @@
 
 duration peer_links::heartbeat_interval(const std::string& entry) const
 {
-    // An exchange tells both ends, so one end of a pair is enough; the other
-    // steps in when it hears nothing.
+    // An exchange informs both ends, so only the end with the lower name sends
+    // heartbeats; the other end takes over if they stop.
     constexpr int passive_end_factor = 3;
     return settings_.entry < entry ? settings_.heartbeat
                                    : settings_.heartbeat * passive_end_factor;
@@ -274,17 +273,17 @@
 
 const peer_report* peer_links::report_of(const std::string& entry) const
 {
-    const auto known = links_.find(entry);
-    return known == links_.end() || !known->second->up ? nullptr
-                                                       : &known->second->report;
+    const auto found = links_.find(entry);
+    return found == links_.end() || !found->second->up ? nullptr
+                                                       : &found->second->report;
 }
 
 std::vector<std::string> peer_links::reachable() const
 {
     std::vector<std::string> names;
-    for (const auto& [name, known] : links_)
+    for (const auto& [name, link_ptr] : links_)
     {
-        if (known->up && !known->report.stopping)
+        if (link_ptr->up && !link_ptr->report.stopping)
             names.push_back(name);
     }
     return names;
@@ -293,11 +292,11 @@
 std::map<std::string, std::vector<double>> peer_links::demand() const
 {
     std::map<std::string, std::vector<double>> by_team;
-    for (const auto& [name, known] : links_)
+    for (const auto& [name, link_ptr] : links_)
     {
-        if (!known->up)
+        if (!link_ptr->up)
             continue;
-        for (const auto& one : known->report.demand)
+        for (const auto& one : link_ptr->report.demand)
             by_team[one.team].push_back(one.rate);
     }
     return by_team;
@@ -305,15 +304,15 @@
 
 peer_links::link* peer_links::find_up_link(const std::string& entry)
 {
-    const auto known = links_.find(entry);
-    return known == links_.end() || !known->second->up ? nullptr
-                                                       : known->second.get();
+    const auto found = links_.find(entry);
+    return found == links_.end() || !found->second->up ? nullptr
+                                                       : found->second.get();
 }
 
 namespace
 {
 
-/// Counts a call as waiting until its handler is called.
+/// Wraps a handler so that the call counts as pending until it is called.
 template <class Result>
 once_handler<Result> count_as_pending(const std::shared_ptr<int>& pending_calls,
                                       std::function<void(Result)> handler,
@@ -329,7 +328,7 @@
         std::move(fallback));
 }
 
-/// Sends a call whose reply has an answer and tells it.
+/// Sends a request and passes the answer of the reply to a handler.
 template <class Request>
 kj::Promise<void>
 send_expecting_answer(Request&& request,
@@ -430,8 +429,9 @@
                             [done](kj::Exception&&) { done(false); }));
 }
 
-void peer_links::pull(const std::string& entry, const configuration& known,
-                      std::function<void(const configuration&)> done)
+void peer_links::fetch_configuration(
+    const std::string& entry, const configuration& known,
+    std::function<void(const configuration&)> done)
 {
     auto* peer_link = find_up_link(entry);
     if (!peer_link)
@@ -461,7 +461,7 @@
                 kj::heap<link::connection>(std::move(*attempt.socket), bytes_));
             const auto end = [this, once, done](std::vector<member> members)
             {
-                // Not from inside the connection's own call.
+                // The connection must not be destroyed inside its own callback.
                 boost::asio::post(io_, [once] { *once = nullptr; });
                 done(std::move(members));
             };
--- a/src/glenhollow/entry/peer_service.cpp
+++ b/src/glenhollow/entry/peer_service.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// An answer that is told on any thread and fulfils a promise on this one.
+/// A promise on this thread that an answer from any thread fulfils.
 class answer_promise
 {
 public:
@@ -27,7 +27,7 @@
                 kj::mv(paf.fulfiller));
     }
 
-    /// @return A sink for the answer.
+    /// @return A callback that fulfils the promise; any thread may call it.
     answer_callback callback()
     {
         return [&io = io_, fulfiller = fulfiller_](job_answer answer)
@@ -38,14 +38,14 @@
         };
     }
 
-    /// @return The promise of the answer.
+    /// @return The promise; may be called once.
     kj::Promise<job_answer> take() { return kj::mv(promise_); }
 
 private:
-    boost::asio::io_context& io_;               ///< This thread's context.
-    kj::Promise<job_answer> promise_ = nullptr; ///< Of the answer.
+    boost::asio::io_context& io_;               ///< Context of this thread.
+    kj::Promise<job_answer> promise_ = nullptr; ///< Promise of the answer.
     std::shared_ptr<kj::Own<kj::PromiseFulfiller<job_answer>>>
-        fulfiller_; ///< Shared with the sink.
+        fulfiller_; ///< Shared with the callback.
 };
 
 } // namespace
@@ -80,7 +80,8 @@
     { fill(context.getResults().initAnswer(), result); };
     if (!id)
     {
-        write_answer(api_problem{400, reason::malformed, "the id is not one"}
+        write_answer(api_problem{400, reason::malformed,
+                                 "the id is not a valid submission id"}
                          .to_answer());
         return kj::READY_NOW;
     }
@@ -118,7 +119,8 @@
     { fill(context.getResults().initAnswer(), result); };
     if (!id)
     {
-        write_answer(api_problem{400, reason::malformed, "the id is not one"}
+        write_answer(api_problem{400, reason::malformed,
+                                 "the id is not a valid submission id"}
                          .to_answer());
         return kj::READY_NOW;
     }
--- a/src/glenhollow/entry/peer_service.hpp
+++ b/src/glenhollow/entry/peer_service.hpp
@@ -9,14 +9,14 @@
 namespace glenhollow
 {
 
-/// What an entry offers to other entries. On the control thread, inside an
-/// rpc_loop.
+/// RPC service that an entry offers to its peers. Runs on the control thread,
+/// inside an rpc_loop.
 class peer_service final : public wire::Peer::Server
 {
 public:
-    /// @param plane The entry's control thread; outlives the service.
-    /// @param backend Runs jobs; outlives the service.
-    /// @param operators Answers statements; outlives the service.
+    /// @param plane The entry's control plane; must outlive the service.
+    /// @param backend Interface for jobs; must outlive the service.
+    /// @param operators Executes statements; must outlive the service.
     peer_service(control_plane& plane, entry_backend& backend,
                  operator_service& operators)
         : plane_(plane), backend_(backend), operators_(operators)
@@ -33,9 +33,9 @@
     kj::Promise<void> members(MembersContext context) override;
 
 private:
-    control_plane& plane_;        ///< The entry's control thread.
-    entry_backend& backend_;      ///< Runs jobs.
-    operator_service& operators_; ///< Answers statements.
+    control_plane& plane_;        ///< The entry's control plane.
+    entry_backend& backend_;      ///< Interface for jobs.
+    operator_service& operators_; ///< Executes statements.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/peer_wire.hpp
+++ b/src/glenhollow/entry/peer_wire.hpp
@@ -9,39 +9,34 @@
 {
 
 /// Writes an answer into a message.
-/// @param out The message.
-/// @param answer The answer.
 void fill(wire::Answer::Builder out, const job_answer& answer);
 
-/// @param from A message.
-/// @return The answer in it.
+/// Reads an answer from a message.
 job_answer to_answer(wire::Answer::Reader from);
 
 /// Writes demand into a message.
-/// @param out The message's list, of the right size.
-/// @param demand Of each team.
+/// @param out List of the message; its size must be that of `demand`.
+/// @param demand Demand of each client account.
 void fill(capnp::List<wire::TeamDemand>::Builder out,
           const std::vector<team_demand>& demand);
 
-/// @param from A message's list.
-/// @return The demand in it.
+/// Reads demand from a message.
 std::vector<team_demand> to_demand(capnp::List<wire::TeamDemand>::Reader from);
 
 /// Writes members into a message.
-/// @param out The message's list, of the right size.
-/// @param members By name.
+/// @param out List of the message; its size must be that of `members`.
+/// @param members Members by name.
 void fill(capnp::List<wire::Member>::Builder out, const member_map& members);
 
-/// @param from A message's list.
-/// @return The members in it that make sense.
+/// Reads members from a message. Skips members with an unknown role, an unknown
+/// state or an invalid address.
 std::vector<member> to_members(capnp::List<wire::Member>::Reader from);
 
-/// @param text Any bytes.
-/// @return The same as Cap'n Proto takes them.
+/// @return A view of the string as Cap'n Proto bytes; the string must outlive
+/// it.
 kj::ArrayPtr<const kj::byte> as_bytes(const std::string& text);
 
-/// @param data Bytes of a message.
-/// @return The same as a string.
+/// @return A copy of a message's bytes as a string.
 std::string to_string(capnp::Data::Reader data);
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/row_table.hpp
+++ b/src/glenhollow/entry/row_table.hpp
@@ -14,55 +14,56 @@
 namespace glenhollow
 {
 
-/// How rows of several entries that name the same thing become one.
+/// Rules for merging the rows of several entries.
 struct row_merge_rules
 {
-    std::string key; ///< Field that names the thing; empty:
-                     ///< rows are only joined.
-    std::vector<std::string> summed_fields; ///< Fields that are added up.
-    bool known_rows_only = false; ///< Rows that are new here are left out.
+    std::string key; ///< Field that identifies a row; if empty, rows
+                     ///< are only appended.
+    std::vector<std::string> summed_fields; ///< Fields whose values are added.
+    bool known_rows_only = false; ///< Whether rows with a new key are dropped.
 };
 
-/// @param number A number.
-/// @param digits Kept after the point.
-/// @return The number, as a whole one where it is whole.
+/// Rounds a number for an answer.
+/// @param digits Digits kept after the decimal point.
+/// @return An integer if the result is whole, otherwise a floating-point
+/// number.
 boost::json::value rounded(double number, int digits);
 
-/// Rows of an operator's answer.
+/// Rows of the answer to an operator.
 class row_table final
 {
 public:
-    /// @param row One more row.
+    /// Appends a row.
     void add(boost::json::object row) { rows_.push_back(std::move(row)); }
 
-    /// Adds the rows of another entry's answer.
-    /// @param answer The answer; a problem adds nothing.
-    /// @param how How rows are joined.
+    /// Merges the rows of another entry's answer.
+    /// @param answer The answer; an error or an invalid body is ignored.
+    /// @param rules How rows are merged.
     void merge(const job_answer& answer, const row_merge_rules& rules);
 
-    /// Keeps the rows for which all conditions hold.
-    /// @param where The conditions.
-    /// @return Nothing, or the field that no row has.
+    /// Removes the rows that do not match all conditions.
+    /// @return An error that names the field if no row has a field.
     api_result<void> filter(const std::vector<condition>& where);
 
-    /// Orders the rows.
-    /// @param key The field to order by.
+    /// Sorts the rows by the text of a field. The sort is stable.
     void sort_by(const std::string& key);
 
-    /// @return The rows as the answer to the operator.
+    /// @return The rows as an answer with status 200.
     job_answer to_answer() const;
 
-    /// @return How many rows there are.
+    /// @return The number of rows.
     std::size_t size() const { return rows_.size(); }
 
 private:
-    boost::json::array rows_; ///< Objects.
+    boost::json::array rows_; ///< Rows as JSON objects.
 };
 
-/// @param field A field's value.
-/// @param op How it compares.
-/// @param value With what; as numbers where both are numbers.
-/// @return Whether the condition holds.
+/// Evaluates a condition on a field. Compares as numbers if both sides are
+/// numbers, otherwise as text.
+/// @param field Value of the field.
+/// @param op Comparison operator.
+/// @param value Right-hand side.
+/// @return Whether the condition is true.
 bool matches(const boost::json::value& field, comparison op,
              const std::string& value);
 
--- a/src/glenhollow/entry/shard.cpp
+++ b/src/glenhollow/entry/shard.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Set while a thread runs a shard.
+/// The shard that runs on this thread, or null.
 thread_local shard* current_shard = nullptr;
 
 constexpr duration link_tick_interval = milliseconds{100};
--- a/src/glenhollow/entry/shard_group.hpp
+++ b/src/glenhollow/entry/shard_group.hpp
@@ -15,42 +15,43 @@
 namespace glenhollow
 {
 
-/// The traffic threads of an entry. Any thread may call.
+/// The traffic threads of an entry. Thread-safe.
 class shard_group final
 {
 public:
-    /// @param shards One or more, each to be run on its own thread.
-    /// @param control Where gathered results are told.
+    /// @param shards One or more shards; each runs on its own thread.
+    /// @param control Context on which gather() reports its results.
     shard_group(std::vector<std::unique_ptr<shard>> shards,
                 boost::asio::io_context& control)
         : shards_(std::move(shards)), control_io_(control)
     {
     }
 
-    /// @return How many there are.
+    /// @return The number of shards.
     std::size_t size() const { return shards_.size(); }
 
-    /// @param index From 0.
-    /// @return The shard; only post() and stop() of it may be used here.
+    /// @param index Index of the shard, from 0.
+    /// @return The shard; other threads may only use its thread-safe members.
     shard& at(std::size_t index) { return *shards_[index]; }
 
-    /// @param sequence A submission of this entry.
-    /// @return The shard whose job it is.
+    /// @param sequence Sequence number of a submission of this entry.
+    /// @return The shard that owns the submission.
     shard& owner_of(std::uint64_t sequence)
     {
         return *shards_[sequence % shards_.size()];
     }
 
-    /// @param work Runs on each shard's thread.
+    /// Runs a function on the thread of each shard.
     void post_to_all(const std::function<void(shard&)>& work)
     {
         for (const auto& one : shards_)
             one->post(work);
     }
 
-    /// Asks every shard and tells all answers on the control thread.
-    /// @param ask Runs on each shard's thread.
-    /// @param done Told the answers, in the order of the shards.
+    /// Runs a query on the thread of each shard and collects the results.
+    /// @param query Called on each shard's thread.
+    /// @param done Called on the control thread with the results in the order
+    /// of the shards.
     template <class T>
     void gather(std::function<T(shard&)> query,
                 std::function<void(std::vector<T>)> done)
@@ -81,8 +82,8 @@
     }
 
 private:
-    std::vector<std::unique_ptr<shard>> shards_; ///< The threads.
-    boost::asio::io_context& control_io_;        ///< The control thread.
+    std::vector<std::unique_ptr<shard>> shards_; ///< Shards by index.
+    boost::asio::io_context& control_io_; ///< Context of the control thread.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/waste_history.hpp
+++ b/src/glenhollow/entry/waste_history.hpp
@@ -13,16 +13,17 @@
 namespace glenhollow
 {
 
-/// Kinds of messages that carry no start, result or submission.
+/// Kinds of overhead messages: messages that carry no start, result or
+/// submission.
 enum class waste_kind : std::uint8_t
 {
-    ping,           ///< Heartbeats and probes of agents.
-    hello,          ///< Links that are opened.
-    refused_start,  ///< Starts answered not_run.
-    repeated_start, ///< Starts sent again after a broken link.
+    ping,           ///< Heartbeats and probes on agent links.
+    hello,          ///< Handshakes of newly opened agent links.
+    refused_start,  ///< Starts that an agent answered with `not_run`.
+    repeated_start, ///< Starts sent again after a link broke.
     exchange,       ///< Reports between entries.
-    configuration,  ///< Configuration on its way.
-    handover        ///< Kept answers of a stopping entry.
+    configuration,  ///< Transfers of the configuration.
+    handover        ///< Handovers of kept answers by a stopping entry.
 };
 
 template <>
@@ -33,7 +34,7 @@
         "exchange", "configuration", "handover"};
 };
 
-/// What causes each kind, for operators.
+/// Cause of each kind, shown to operators.
 inline constexpr std::array<std::string_view, 7> waste_causes{
     "idle links and silent agents",
     "links opened for the first time or again",
@@ -43,27 +44,27 @@
     "changes of the configuration, restarts",
     "planned stops of entries"};
 
-/// Counts of messages at one time.
+/// Message and task counts at one time.
 struct waste_counts
 {
     std::array<std::uint64_t, name_table<waste_kind>::names.size()>
-        by_kind{};           ///< Messages of each kind.
-    std::uint64_t tasks = 0; ///< Results that came back.
+        by_kind{};           ///< Overhead messages by kind.
+    std::uint64_t tasks = 0; ///< Task starts sent.
 
-    /// @param kind Which.
-    /// @return Its count.
+    /// @return The count of a kind.
     std::uint64_t& operator[](waste_kind kind)
     {
         return by_kind[static_cast<std::size_t>(kind)];
     }
 };
 
-/// Message counts over the last day, to explain a night. Bounded.
+/// Samples of the message counts over the last day.
 class waste_history final
 {
 public:
-    /// @param now The time.
-    /// @param counts Totals since the start.
+    /// Adds a sample and drops the oldest one if there are too many.
+    /// @param now Current time.
+    /// @param counts Totals since the process started.
     void add(instant now, const waste_counts& counts)
     {
         samples_.push_back({now, counts});
@@ -71,9 +72,10 @@
             samples_.pop_front();
     }
 
-    /// @param now The time.
-    /// @param since How far back; nothing: since the start.
-    /// @return What came in that time, as far as it is known.
+    /// @param now Current time.
+    /// @param since Length of the period up to now; if empty, the period since
+    /// the process started.
+    /// @return The counts in the period, limited to the known samples.
     waste_counts counts_within(instant now, std::optional<duration> since) const
     {
         if (samples_.empty())
@@ -95,17 +97,17 @@
     }
 
 private:
-    /// A day of samples, one each 10 s.
+    /// Number of samples in one day at one every 10 s.
     static constexpr std::size_t max_samples = 8640;
 
     /// Totals at one time.
     struct sample
     {
-        instant at{};        ///< When.
-        waste_counts counts; ///< Since the start.
+        instant at{};        ///< Time of the sample.
+        waste_counts counts; ///< Totals since the process started.
     };
 
-    std::deque<sample> samples_; ///< Oldest first.
+    std::deque<sample> samples_; ///< Samples, oldest first.
 };
 
 } // namespace glenhollow
