--- a/tests/schedule/durable_scenario_tests.cpp
+++ b/tests/schedule/durable_scenario_tests.cpp
@@ -18,7 +18,7 @@
 /// What the seeds of a scenario came to.
 struct scenario_outcome
 {
-    std::size_t broken = 0; ///< Seeds that broke a promise.
+    std::size_t violations = 0; ///< Seeds that broke a promise.
     std::map<std::string, std::uint64_t> situations; ///< Seeds that met each.
     std::uint64_t starts = 0;                        ///< At all servers.
 };
@@ -34,15 +34,15 @@
         out.starts += got.starts;
         for (const auto& [situation, count] : got.situations)
             out.situations[situation] += count > 0 ? 1 : 0;
-        if (got.broken.empty())
+        if (got.violations.empty())
             continue;
-        if (++out.broken > 1)
+        if (++out.violations > 1)
             continue;
         scenario.tracing = true;
-        std::string story = "seed " + std::to_string(seed);
+        std::string trace = "seed " + std::to_string(seed);
         for (const auto& line : durable_world(scenario).play().lines)
-            story += "\n" + line;
-        UNSCOPED_INFO(story);
+            trace += "\n" + line;
+        UNSCOPED_INFO(trace);
     }
     return out;
 }
@@ -84,7 +84,7 @@
          {milliseconds{1450}, "agent_still", 0, 1, milliseconds{2200}},
          {milliseconds{1900}, "caller_reset", 0, 1, {}}});
     const auto got = play(scenario);
-    CHECK(got.broken == 0);
+    CHECK(got.violations == 0);
     // The agent stands still after a return that it can have missed, with the
     // task there: it began at both lives, and once more elsewhere.
     REQUIRE(got.situations.at("still_after_quick_return") == seeds);
@@ -107,7 +107,7 @@
           "[last_clock]")
 {
     auto scenario = at_agent_1();
-    scenario.kept = true;
+    scenario.journalled = true;
     scenario.jobs = {{seconds{1}, 0, 1, seconds{4}}};
     scenario.faults.insert(
         scenario.faults.end(),
@@ -116,7 +116,7 @@
          {milliseconds{1420}, "agent_still", 0, 1, milliseconds{760}},
          {milliseconds{2220}, "agent_still", 0, 1, milliseconds{840}}});
     const auto got = play(scenario);
-    CHECK(got.broken == 0);
+    CHECK(got.violations == 0);
     REQUIRE(got.situations.at("returned_while_agent_still") == seeds);
     REQUIRE(got.starts >= seeds);
 }
@@ -133,7 +133,7 @@
 TEST_CASE("an owner that nobody bears out lets its leases end", "[hall_cut]")
 {
     durable_schedule_settings scenario;
-    scenario.kept = true;
+    scenario.journalled = true;
     scenario.entries = 2;
     scenario.agents = 3;
     scenario.length = seconds{12};
@@ -144,7 +144,7 @@
         scenario.faults = {
             {milliseconds{1500}, "hall_cut", 0, agent, seconds{8}}};
         const auto got = play(scenario);
-        CHECK(got.broken == 0);
+        CHECK(got.violations == 0);
         REQUIRE(got.situations.at("owner_cut_off") == seeds);
         REQUIRE(got.starts > 4 * seeds);
     }
@@ -156,7 +156,7 @@
           "[suspended]")
 {
     durable_schedule_settings scenario;
-    scenario.kept = true;
+    scenario.journalled = true;
     scenario.entries = 2;
     scenario.agents = 3;
     scenario.length = seconds{14};
@@ -167,7 +167,7 @@
         scenario.faults = {{milliseconds{1500}, "entry_suspended", 0, 0,
                             milliseconds{length}}};
         const auto got = play(scenario);
-        CHECK(got.broken == 0);
+        CHECK(got.violations == 0);
         REQUIRE(got.situations.at("suspended") == seeds);
     }
 }
@@ -184,16 +184,16 @@
     scenario.jobs = {{seconds{1}, 0, 4, seconds{4}}};
     for (const auto length : {100, 300, 600, 900})
     {
-        for (const bool kept : {false, true})
+        for (const bool journalled : {false, true})
         {
-            INFO("suspended for " << length << " ms, kept " << kept);
-            scenario.kept = kept;
+            INFO("suspended for " << length << " ms, kept " << journalled);
+            scenario.journalled = journalled;
             scenario.faults = {{milliseconds{1200}, "machine_suspended", 0, 1,
                                 milliseconds{length}},
                                {milliseconds{1201}, "agent_still", 0, 1,
                                 milliseconds{length + 700}}};
             const auto got = play(scenario);
-            CHECK(got.broken == 0);
+            CHECK(got.violations == 0);
             REQUIRE(got.situations.at("suspended") == seeds);
         }
     }
@@ -207,7 +207,7 @@
     {
         INFO("suspended for " << length << " ms");
         auto scenario = at_agent_1();
-        scenario.kept = true;
+        scenario.journalled = true;
         scenario.jobs = {{seconds{1}, 0, 1, seconds{4}}};
         scenario.faults.insert(
             scenario.faults.end(),
@@ -216,7 +216,7 @@
              {milliseconds{1420}, "machine_suspended", 0, 1,
               milliseconds{length}}});
         const auto got = play(scenario);
-        CHECK(got.broken == 0);
+        CHECK(got.violations == 0);
         REQUIRE(got.situations.at("suspended") == seeds);
     }
 }
--- a/tests/schedule/durable_schedule_tests.cpp
+++ b/tests/schedule/durable_schedule_tests.cpp
@@ -25,25 +25,26 @@
 }
 
 /// Kinds of faults that are left out.
-using left_out = std::set<std::string>;
+using fault_set = std::set<std::string>;
 
-durable_outcome play(std::uint64_t seed, bool kept, const left_out& without,
-                     bool tracing = false)
+durable_outcome play(std::uint64_t seed, bool journalled,
+                     const fault_set& excluded_faults, bool tracing = false)
 {
     durable_schedule_settings settings;
     settings.seed = seed;
-    settings.kept = kept;
+    settings.journalled = journalled;
     settings.entries = 2 + seed % 4 / 3;
     settings.agents = 3 - seed % 3 / 2;
     settings.tracing = tracing;
-    settings.without = without;
+    settings.excluded_faults = excluded_faults;
     durable_world world(settings);
     return world.play();
 }
 
-std::string story_of(std::uint64_t seed, bool kept, const left_out& without)
+std::string trace_of(std::uint64_t seed, bool journalled,
+                     const fault_set& excluded_faults)
 {
-    const auto again = play(seed, kept, without, true);
+    const auto again = play(seed, journalled, excluded_faults, true);
     std::string out = "seed " + std::to_string(seed) + "\n";
     for (const auto& line : again.lines)
         out += line + "\n";
@@ -51,7 +52,8 @@
 }
 
 /// Plays all seeds of a range and checks each.
-void explore(bool kept, std::uint64_t schedules, const left_out& without)
+void explore(bool journalled, std::uint64_t schedules,
+             const fault_set& excluded_faults)
 {
     const auto only = from_environment("GLENHOLLOW_SEED", 0);
     const auto first = only != 0 ? only : 1;
@@ -61,7 +63,7 @@
     std::size_t failed = 0;
     for (auto seed = first; seed <= last; ++seed)
     {
-        const auto got = play(seed, kept, without);
+        const auto got = play(seed, journalled, excluded_faults);
         sum.starts += got.starts;
         sum.succeeded += got.succeeded;
         sum.refused += got.refused;
@@ -71,15 +73,15 @@
             sum.faults[kind] += count;
         for (const auto& [situation, count] : got.situations)
             sum.situations[situation] += count > 0 ? 1 : 0;
-        if (got.broken.empty())
+        if (got.violations.empty())
             continue;
         ++failed;
         if (failed == 1)
-            UNSCOPED_INFO(story_of(seed, kept, without));
+            UNSCOPED_INFO(trace_of(seed, journalled, excluded_faults));
         if (const char* folder = std::getenv("GLENHOLLOW_STORIES"))
             std::ofstream(std::string(folder) + "/" + std::to_string(seed))
-                << story_of(seed, kept, without);
-        UNSCOPED_INFO("seed " << seed << ": " << got.broken.front());
+                << trace_of(seed, journalled, excluded_faults);
+        UNSCOPED_INFO("seed " << seed << ": " << got.violations.front());
     }
     std::string faults;
     for (const auto& [kind, count] : sum.faults)
@@ -93,7 +95,7 @@
          << sum.resent << ", holds let go " << sum.lapses << "; faults:"
          << faults << "; schedules in which came about:" << situations);
     if (only != 0)
-        std::cout << story_of(only, kept, without);
+        std::cout << trace_of(only, journalled, excluded_faults);
     CHECK(failed == 0);
     // The schedules must really have been rough.
     if (only == 0)
@@ -138,9 +140,9 @@
 TEST_CASE("schedules that broke a promise keep it now", "[mended]")
 {
     for (const std::uint64_t seed : {1060, 5483, 1479, 17880})
-        CHECK(play(seed, false, {}).broken.empty());
+        CHECK(play(seed, false, {}).violations.empty());
     for (const std::uint64_t seed : {7214, 491, 3047, 7604})
-        CHECK(play(seed, true, {"hall_cut"}).broken.empty());
+        CHECK(play(seed, true, {"hall_cut"}).violations.empty());
 }
 
 // An owner of a part that was cut off from the store and from all other entries
@@ -156,7 +158,7 @@
 TEST_CASE("an owner cut off with an agent ends its leases", "[hall_cut]")
 {
     for (const std::uint64_t seed : {326, 396, 666})
-        CHECK(play(seed, true, {}).broken.empty());
+        CHECK(play(seed, true, {}).violations.empty());
 }
 
 // A server ended and ran again under its id within 12 ms, so that no connection
@@ -169,7 +171,7 @@
 TEST_CASE("a server that runs again at once is held no longer than others",
           "[quick_restart]")
 {
-    CHECK(play(15544, false, {}).broken.empty());
+    CHECK(play(15544, false, {}).violations.empty());
 }
 
 // The test above keeps its seed; what is drawn has changed since, and its
@@ -179,9 +181,9 @@
 TEST_CASE("no server is held by its last life's clock", "[last_clock]")
 {
     for (const std::uint64_t seed : {34904, 39946})
-        CHECK(play(seed, false, {}).broken.empty());
+        CHECK(play(seed, false, {}).violations.empty());
     for (const std::uint64_t seed : {18006, 33195})
-        CHECK(play(seed, true, {"hall_cut"}).broken.empty());
+        CHECK(play(seed, true, {"hall_cut"}).violations.empty());
 }
 
 // An entry's process ended and began again within 40 ms, and again; the first
@@ -192,7 +194,7 @@
 // entry of the part; its owner begins the task 1.1 s after its claim, not 3.4.
 TEST_CASE("who has no session is told of no runs", "[replaced_session]")
 {
-    CHECK(play(103337, true, {}).broken.empty());
+    CHECK(play(103337, true, {}).violations.empty());
 }
 
 TEST_CASE("a schedule of jobs is the same for the same seed")
--- a/tests/schedule/durable_world.hpp
+++ b/tests/schedule/durable_world.hpp
@@ -3,7 +3,7 @@
 
 #include "run_checks.hpp"
 #include "simulated_entry.hpp"
-#include "story_log.hpp"
+#include "trace_log.hpp"
 
 #include <memory>
 #include <set>
@@ -16,11 +16,11 @@
 /// A job of a scenario, which nothing draws.
 struct planned_job
 {
-    duration at{};                   ///< When its caller first asks.
-    std::size_t entry = 0;           ///< Whom.
-    std::uint32_t tasks = 1;         ///< Of its only step.
-    milliseconds work{};             ///< Of each task.
-    duration patience = seconds{30}; ///< Of its caller.
+    duration at{};                  ///< When its caller first asks.
+    std::size_t entry = 0;          ///< Whom.
+    std::uint32_t tasks = 1;        ///< Of its only step.
+    milliseconds work{};            ///< Of each task.
+    duration timeout = seconds{30}; ///< Of its caller.
 };
 
 /// A fault of a scenario.
@@ -37,11 +37,12 @@
 struct durable_schedule_settings
 {
     std::uint64_t seed = 1;  ///< Of all that is drawn.
-    bool kept = false;       ///< Jobs are kept in the journal, else in memory.
+    bool journalled = false; ///< Jobs are kept in the journal, else in memory.
     bool tracing = false;    ///< The order of events is written down.
     std::size_t entries = 2; ///< How many.
     std::size_t agents = 3;  ///< How many, each with its server.
-    std::set<std::string> without;     ///< Kinds of faults that are left out.
+    std::set<std::string>
+        excluded_faults;               ///< Kinds of faults that are left out.
     std::vector<planned_job> jobs;     ///< A scenario's: in place of drawn jobs
                                        ///< and faults.
     std::vector<planned_fault> faults; ///< Of the scenario.
@@ -51,13 +52,13 @@
 /// What a schedule came to.
 struct durable_outcome
 {
-    std::vector<std::string> broken; ///< What did not hold.
-    std::vector<std::string> lines;  ///< Its order of events.
-    std::uint64_t starts = 0;        ///< At servers.
-    std::uint64_t succeeded = 0;     ///< Jobs.
-    std::uint64_t refused = 0;       ///< Jobs, each time.
-    std::uint64_t resent = 0;        ///< Submissions after the first.
-    std::uint64_t lapses = 0;        ///< Holds that agents let go.
+    std::vector<std::string> violations; ///< What did not hold.
+    std::vector<std::string> lines;      ///< Its order of events.
+    std::uint64_t starts = 0;            ///< At servers.
+    std::uint64_t succeeded = 0;         ///< Jobs.
+    std::uint64_t refused = 0;           ///< Jobs, each time.
+    std::uint64_t resent = 0;            ///< Submissions after the first.
+    std::uint64_t lapses = 0;            ///< Holds that agents let go.
     std::map<std::string, std::uint64_t> faults;     ///< By kind.
     std::map<std::string, std::uint64_t> situations; ///< That came about, of
                                                      ///< those that faults
@@ -84,9 +85,9 @@
         std::unique_ptr<simulated_server> server; ///< The backend server.
         std::unique_ptr<simulated_agent> agent;   ///< Beside it.
         std::vector<simulated_link> links;        ///< By entry.
-        instant server_ended{};    ///< Its last end under faults.
-        instant server_returned{}; ///< Its last begin under the same id.
-        duration server_away{};    ///< Between the two.
+        instant server_ended{};     ///< Its last end under faults.
+        instant server_restarted{}; ///< Its last begin under the same id.
+        duration server_downtime{}; ///< Between the two.
     };
 
     struct entry_site
@@ -101,7 +102,7 @@
         open,
         refused,
         lost,
-        left,
+        withdrawn,
         answered
     };
 
@@ -115,46 +116,49 @@
     struct caller
     {
         job_definition job;            ///< What it asks for.
-        duration patience{};           ///< Of each attempt.
+        duration timeout{};            ///< Of each attempt.
         std::vector<attempt> attempts; ///< So far.
-        bool served = false;           ///< It has its answer.
-        bool left = false;             ///< It wants none any more.
+        bool has_answer = false;       ///< It has its answer.
+        bool withdrawn = false;        ///< It wants none any more.
     };
 
     void build();
-    caller caller_of(std::size_t number, std::uint32_t tasks, milliseconds work,
-                     duration patience) const;
-    durable_outcome judge();
+    caller make_caller(std::size_t number, std::uint32_t tasks,
+                       milliseconds work, duration timeout) const;
+    durable_outcome evaluate();
     void plan_jobs(instant around);
     void plan_faults(instant first);
-    void fault(const std::string& kind, duration at, std::size_t victim);
-    void strike(const std::string& kind, std::size_t victim, duration length);
-    void strike(const planned_fault& one);
+    void schedule_fault(const std::string& kind, duration at,
+                        std::size_t victim);
+    void apply_fault(const std::string& kind, std::size_t victim,
+                     duration length);
+    void apply_fault(const planned_fault& one);
     void plan_scenario();
-    void return_server(std::size_t agent, duration away, bool same_id);
-    void stand_still(std::size_t agent, duration length);
-    void kill_entry(std::size_t entry, bool told, duration away);
-    void kill_agent(std::size_t agent, bool told, duration away);
+    void restart_server(std::size_t agent, duration downtime, bool same_id);
+    void pause(std::size_t agent, duration length);
+    void kill_entry(std::size_t entry, bool notify_peers, duration downtime);
+    void kill_agent(std::size_t agent, bool notify_peers, duration downtime);
     void exchange_views();
-    void heartbeats(std::size_t agent);
-    void submit(std::size_t who, std::size_t entry);
-    void reply(std::size_t who, std::size_t which, const job_reply& got);
-    void lose(std::size_t who, std::size_t which);
-    void come_again(std::size_t who);
-    void lose_all_at(std::size_t entry, bool told);
-    std::size_t any_entry() { return time_.random() % settings_.entries; }
-    std::size_t any_agent() { return time_.random() % settings_.agents; }
-
-    durable_schedule_settings settings_; ///< What it is drawn from.
-    simulated_time time_;                ///< Time and chance.
-    std::unique_ptr<story_log> logged_;  ///< While the order is written down.
-    run_checks checks_;                  ///< What must hold.
-    fake_row_store rows_;                ///< The store of the journal.
-    std::vector<agent_site> agents_;     ///< By number.
-    std::vector<entry_site> entries_;    ///< By number.
-    std::vector<caller> callers_;        ///< By number.
-    instant views_shut_{};               ///< Entries don't hear each other.
-    durable_outcome outcome_;            ///< So far.
+    void send_heartbeats(std::size_t agent);
+    void submit(std::size_t caller_index, std::size_t entry);
+    void reply(std::size_t caller_index, std::size_t attempt_index,
+               const job_reply& got);
+    void fail_attempt(std::size_t caller_index, std::size_t attempt_index);
+    void schedule_resubmission(std::size_t caller_index);
+    void fail_attempts_at(std::size_t entry, bool notify_peers);
+    std::size_t random_entry() { return time_.random() % settings_.entries; }
+    std::size_t random_agent() { return time_.random() % settings_.agents; }
+
+    durable_schedule_settings settings_;  ///< What it is drawn from.
+    simulated_time time_;                 ///< Time and chance.
+    std::unique_ptr<trace_log> log_sink_; ///< While the order is written down.
+    run_checks checks_;                   ///< What must hold.
+    fake_row_store rows_;                 ///< The store of the journal.
+    std::vector<agent_site> agents_;      ///< By number.
+    std::vector<entry_site> entries_;     ///< By number.
+    std::vector<caller> callers_;         ///< By number.
+    instant entries_cut_until_{};         ///< Entries don't hear each other.
+    durable_outcome outcome_;             ///< So far.
 };
 
 } // namespace glenhollow
--- a/tests/schedule/run_checks.hpp
+++ b/tests/schedule/run_checks.hpp
@@ -28,18 +28,18 @@
         for (const auto& other : task.running)
         {
             if (other.server != server || other.run != run.run)
-                broke("TWICE at once: " + name(run) + " at server " +
-                      std::to_string(server) + ", run " +
-                      std::to_string(other.run) + " at server " +
-                      std::to_string(other.server));
+                report_violation("TWICE at once: " + name(run) + " at server " +
+                                 std::to_string(server) + ", run " +
+                                 std::to_string(other.run) + " at server " +
+                                 std::to_string(other.server));
         }
         task.running.push_back({server, run.run});
         task.started = time_.elapsed();
         started_.insert(run.task.job);
         for (const auto& end : task.done)
         {
-            if (end.noted && !run.in_memory())
-                broke("TWICE after its end: " + name(run));
+            if (end.confirmed && !run.in_memory())
+                report_violation("TWICE after its end: " + name(run));
         }
         ++starts;
     }
@@ -52,21 +52,21 @@
                std::uint64_t number)
     {
         auto& task = tasks_[key(run.task)];
-        std::erase_if(task.running, [&](const place& one)
+        std::erase_if(task.running, [&](const active_run& one)
                       { return one.server == server && one.run == run.run; });
         if (how == run_outcome::done)
             task.done.push_back({server, number, time_.elapsed(), false});
     }
 
     /// @param server Its life has ended.
-    void life_ended(std::size_t server)
+    void incarnation_ended(std::size_t server)
     {
         for (auto& [name, task] : tasks_)
         {
-            std::erase_if(task.running, [&](const place& one)
+            std::erase_if(task.running, [&](const active_run& one)
                           { return one.server == server; });
             std::erase_if(task.done, [&](const done_end& one)
-                          { return one.server == server && !one.noted; });
+                          { return one.server == server && !one.confirmed; });
         }
     }
 
@@ -77,7 +77,7 @@
         for (auto& [name, task] : tasks_)
         {
             std::erase_if(task.done, [&](const done_end& one)
-                          { return one.server == server && !one.noted; });
+                          { return one.server == server && !one.confirmed; });
         }
     }
 
@@ -85,33 +85,35 @@
     /// @param number That number.
     /// @param in_memory Told of a task by its job.
     template <class InMemory>
-    void noted(std::size_t server, std::uint64_t number, InMemory&& in_memory)
+    void confirmed(std::size_t server, std::uint64_t number,
+                   InMemory&& in_memory)
     {
         for (auto& [name, task] : tasks_)
         {
             for (auto& end : task.done)
             {
-                if (end.server != server || end.noted || end.number > number)
+                if (end.server != server || end.confirmed ||
+                    end.number > number)
                     continue;
-                end.noted = true;
+                end.confirmed = true;
                 if (task.started > end.at && !in_memory(std::get<0>(name)))
-                    broke("TWICE after its end, told later: job " +
-                          to_text(std::get<0>(name)));
+                    report_violation("TWICE after its end, told later: job " +
+                                     to_text(std::get<0>(name)));
             }
         }
     }
 
     /// @param server Holds more than it has room for.
-    void over_room(std::size_t server)
+    void over_capacity(std::size_t server)
     {
-        broke("LIMIT at server " + std::to_string(server));
+        report_violation("LIMIT at server " + std::to_string(server));
     }
 
     /// @param job Each of its submissions was refused.
     void refused(job_id job)
     {
         if (started_.contains(job))
-            broke("REFUSED: " + to_text(job) + " was started");
+            report_violation("REFUSED: " + to_text(job) + " was started");
     }
 
     /// @param run A run.
@@ -124,13 +126,13 @@
                                               : run.run);
     }
 
-    std::vector<std::string> broken; ///< What did not hold.
-    std::uint64_t starts = 0;        ///< At all servers.
+    std::vector<std::string> violations; ///< What did not hold.
+    std::uint64_t starts = 0;            ///< At all servers.
 
 private:
     using task_key = std::tuple<job_id, std::uint32_t, std::uint32_t>;
 
-    struct place
+    struct active_run
     {
         std::size_t server = 0; ///< Where.
         std::uint32_t run = 0;  ///< Its number.
@@ -141,14 +143,14 @@
         std::size_t server = 0;   ///< Where.
         std::uint64_t number = 0; ///< Of the end there.
         duration at{};            ///< When.
-        bool noted = false;       ///< `last_seen` has reached it.
+        bool confirmed = false;   ///< `last_seen` has reached it.
     };
 
     struct task_state
     {
-        std::vector<place> running; ///< Now.
-        std::vector<done_end> done; ///< Ends that may bind.
-        duration started{};         ///< Last.
+        std::vector<active_run> running; ///< Now.
+        std::vector<done_end> done;      ///< Ends that may bind.
+        duration started{};              ///< Last.
     };
 
     static task_key key(const task_ref& task)
@@ -156,10 +158,10 @@
         return {task.job, task.step, task.index};
     }
 
-    void broke(const std::string& what)
+    void report_violation(const std::string& what)
     {
-        time_.note([&] { return "BROKEN " + what; });
-        broken.push_back(what);
+        time_.trace([&] { return "BROKEN " + what; });
+        violations.push_back(what);
     }
 
     simulated_time& time_;                 ///< Of the simulation.
--- a/tests/schedule/schedule_tests.cpp
+++ b/tests/schedule/schedule_tests.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr std::uint64_t usual_schedules = 4000;
+constexpr std::uint64_t default_schedules = 4000;
 
 std::uint64_t from_environment(const char* name, std::uint64_t fallback)
 {
@@ -26,9 +26,10 @@
     random_engine random(seed * 7919);
     schedule_settings settings;
     settings.seed = seed;
-    settings.break_share = uniform(random) < 0.3 ? 0 : uniform(random) * 0.2;
+    settings.link_break_share =
+        uniform(random) < 0.3 ? 0 : uniform(random) * 0.2;
     settings.refuse_share = uniform(random) * 0.2;
-    settings.broken_share = uniform(random) * 0.05;
+    settings.runner_break_share = uniform(random) * 0.05;
     settings.deaths = random() % 4;
     settings.pauses = random() % 4;
     settings.jobs = 4 + random() % 12;
@@ -49,7 +50,7 @@
     const auto first = only != 0 ? only : 1;
     const auto last =
         only != 0 ? only
-                  : from_environment("GLENHOLLOW_SCHEDULES", usual_schedules);
+                  : from_environment("GLENHOLLOW_SCHEDULES", default_schedules);
     schedule_outcome sum;
     for (auto seed = first; seed <= last; ++seed)
     {
@@ -58,22 +59,23 @@
         sum.failed += outcome.failed;
         sum.refused += outcome.refused;
         sum.adoptions += outcome.adoptions;
-        sum.repeats += outcome.repeats;
-        if (outcome.broken.empty())
+        sum.resent_starts += outcome.resent_starts;
+        if (outcome.violations.empty())
             continue;
-        INFO("seed " << seed << ": " << outcome.broken.front());
+        INFO("seed " << seed << ": " << outcome.violations.front());
         FAIL("a promise broke");
     }
     WARN("complete " << sum.complete << ", failed " << sum.failed
                      << ", refused " << sum.refused << ", adoptions "
-                     << sum.adoptions << ", starts repeated " << sum.repeats);
+                     << sum.adoptions << ", starts repeated "
+                     << sum.resent_starts);
     // The schedules must really have been rough.
     if (only == 0)
     {
         REQUIRE(sum.complete > 0);
         REQUIRE(sum.failed > 0);
         REQUIRE(sum.adoptions > 0);
-        REQUIRE(sum.repeats > 0);
+        REQUIRE(sum.resent_starts > 0);
     }
 }
 
@@ -83,5 +85,5 @@
     const auto other = play(42);
     REQUIRE(one.complete == other.complete);
     REQUIRE(one.failed == other.failed);
-    REQUIRE(one.repeats == other.repeats);
+    REQUIRE(one.resent_starts == other.resent_starts);
 }
--- a/tests/schedule/simulated_agent.cpp
+++ b/tests/schedule/simulated_agent.cpp
@@ -26,9 +26,9 @@
     node_.begin();
     sessions_.clear();
     owners_.clear();
-    waiting_.clear();
-    scheduled_ = room_scheduled_ = false;
-    time_.note([&] { return node_.name() + " begins"; });
+    waiting_adoptions_.clear();
+    urgent_report_scheduled_ = load_report_scheduled_ = false;
+    time_.trace([&] { return node_.name() + " begins"; });
     port_ = std::make_unique<simulated_server_port>(time_, server_, node_);
     // A token that rises with the time of day, as the program's does.
     const auto token = static_cast<std::uint64_t>(
@@ -40,7 +40,7 @@
     manager_->listen(this);
     manager_->begin();
     if (time_.chance(0.7)) // By the row of the last process.
-        node_.later(milliseconds{2} + time_.some(milliseconds{60}),
+        node_.later(milliseconds{2} + time_.random_duration(milliseconds{60}),
                     [this]
                     {
                         auto account = server_.account();
@@ -52,9 +52,9 @@
 
 void simulated_agent::end()
 {
-    if (!node_.up())
+    if (!node_.is_up())
         return;
-    time_.note([&] { return node_.name() + " ends"; });
+    time_.trace([&] { return node_.name() + " ends"; });
     node_.end();
     manager_.reset();
     port_.reset();
@@ -63,7 +63,7 @@
 
 void simulated_agent::heartbeat()
 {
-    if (!node_.up() || !server_.node().up())
+    if (!node_.is_up() || !server_.node().is_up())
         return;
     auto account = server_.account();
     account.sequence = ++sequence_;
@@ -79,8 +79,8 @@
 void simulated_agent::tick()
 {
     manager_->tick();
-    tell_waiting();
-    flush();
+    resume_waiting();
+    send_due_reports();
     node_.later(tick_interval, [this] { tick(); });
 }
 
@@ -102,7 +102,7 @@
 
 attach_answer
 simulated_agent::attach(std::size_t entry, std::uint64_t incarnation,
-                        std::uint64_t number, report_ear& ear,
+                        std::uint64_t number, report_receiver& receiver,
                         std::shared_ptr<simulated_connection> connection)
 {
     auto& opened = sessions_[entry];
@@ -111,14 +111,14 @@
         manager_->refuse_waiting(opened.memory);
     else if (opened.incarnation != 0)
         manager_->expire(opened.memory);
-    const auto memory = same ? opened.memory : memory_lease(processes_++);
+    const auto memory = same ? opened.memory : memory_lease(entry_processes_++);
     opened = {};
     opened.entry = entry;
     opened.incarnation = incarnation;
     opened.memory = memory;
-    opened.number = ++numbers_;
-    opened.ear_number = number;
-    opened.ear = &ear;
+    opened.number = ++last_session_number_;
+    opened.connection_number = number;
+    opened.receiver = &receiver;
     opened.open = true;
     opened.connection = std::move(connection);
     return {opened.number,
@@ -127,24 +127,24 @@
 }
 
 void simulated_agent::adopt(std::uint64_t session, part_epoch part,
-                            std::function<void(const lease_account&)> told)
+                            std::function<void(const lease_account&)> done)
 {
     if (manager_->are_runs_known())
-        return tell_account(session, part, told);
-    waiting_.push_back([this, session, part, told = std::move(told)]
-                       { tell_account(session, part, told); });
+        return send_account(session, part, done);
+    waiting_adoptions_.push_back([this, session, part, done = std::move(done)]
+                                 { send_account(session, part, done); });
 }
 
-void simulated_agent::tell_account(
+void simulated_agent::send_account(
     std::uint64_t number, part_epoch part,
-    const std::function<void(const lease_account&)>& told)
+    const std::function<void(const lease_account&)>& done)
 {
     auto* by = find(number);
     if (by == nullptr)
         return; // Another session has replaced it: it is told nothing.
     const lease_id lease = part.part == memory_part ? by->memory : part.part;
     const auto known = manager_->adopt(lease, part.epoch);
-    time_.note(
+    time_.trace(
         [&]
         {
             return node_.name() + " tells entry " + std::to_string(by->entry) +
@@ -153,23 +153,23 @@
                    (manager_->is_polled() ? "" : ", not having looked");
         });
     if (!known.declined)
-        adopted(*by, lease);
-    told(known);
+        handle_adoption(*by, lease);
+    done(known);
 }
 
-void simulated_agent::tell_waiting()
+void simulated_agent::resume_waiting()
 {
-    if (waiting_.empty() || !manager_->are_runs_known())
+    if (waiting_adoptions_.empty() || !manager_->are_runs_known())
         return;
-    for (auto& one : std::exchange(waiting_, {}))
+    for (auto& one : std::exchange(waiting_adoptions_, {}))
         node_.later(duration{0}, std::move(one));
 }
 
-void simulated_agent::adopted(session& owner, lease_id lease)
+void simulated_agent::handle_adoption(session& owner, lease_id lease)
 {
     owners_[lease] = owner.number;
     owner.status.urgent = true;
-    schedule_now();
+    schedule_urgent_report();
 }
 
 void simulated_agent::order(std::uint64_t number, order_batch batch)
@@ -191,12 +191,12 @@
     for (auto& start : batch.starts)
         manager_->order(std::move(start), by->memory);
     if (manager_->is_leased(by->memory))
-        return schedule_room();
+        return schedule_load_report();
     by->status.urgent = true;
-    schedule_now();
+    schedule_urgent_report();
 }
 
-void simulated_agent::closed(std::uint64_t number)
+void simulated_agent::session_closed(std::uint64_t number)
 {
     if (auto* from = find(number))
     {
@@ -210,7 +210,7 @@
     if (auto* owner = owner_of(lease))
     {
         owner->status.urgent = true;
-        schedule_now();
+        schedule_urgent_report();
     }
 }
 
@@ -220,45 +220,45 @@
     if (owner == nullptr)
         return;
     owner->status.load = true;
-    schedule_room();
+    schedule_load_report();
 }
 
 void simulated_agent::load_changed()
 {
-    tell_waiting();
+    resume_waiting();
     for (auto& [entry, one] : sessions_)
         one.status.load = true;
-    schedule_room();
+    schedule_load_report();
 }
 
 void simulated_agent::phase_changed()
 {
     for (auto& [entry, one] : sessions_)
         one.status.urgent = true;
-    schedule_now();
+    schedule_urgent_report();
 }
 
-void simulated_agent::schedule_now()
+void simulated_agent::schedule_urgent_report()
 {
-    if (std::exchange(scheduled_, true))
+    if (std::exchange(urgent_report_scheduled_, true))
         return;
     node_.later(duration{0},
                 [this]
                 {
-                    scheduled_ = false;
-                    flush();
+                    urgent_report_scheduled_ = false;
+                    send_due_reports();
                 });
 }
 
-void simulated_agent::schedule_room()
+void simulated_agent::schedule_load_report()
 {
-    if (std::exchange(room_scheduled_, true))
+    if (std::exchange(load_report_scheduled_, true))
         return;
     node_.later(pacing_.load_interval(open_sessions()),
                 [this]
                 {
-                    room_scheduled_ = false;
-                    flush();
+                    load_report_scheduled_ = false;
+                    send_due_reports();
                 });
 }
 
@@ -268,7 +268,7 @@
                          [](const auto& one) { return one.second.open; });
 }
 
-void simulated_agent::mark_busy()
+void simulated_agent::update_busy_sessions()
 {
     auto leases = manager_->leases_in_use();
     for (const auto& [lease, owner] : owners_)
@@ -285,9 +285,9 @@
     }
 }
 
-void simulated_agent::flush()
+void simulated_agent::send_due_reports()
 {
-    mark_busy();
+    update_busy_sessions();
     const auto open = open_sessions();
     for (auto& [entry, one] : sessions_)
     {
@@ -311,43 +311,43 @@
 void simulated_agent::report(session& to)
 {
     if (!to.connection->open(direction::to_agent))
-        return closed(to.number);
+        return session_closed(to.number);
     const auto& account = manager_->account();
     server_report out{account,
                       manager_->load(),
                       to.received,
-                      to.told_life != account.incarnation(),
+                      to.reported_incarnation != account.incarnation(),
                       {}};
     std::vector<run_end> ends;
     std::vector<run_ref> begun;
     for (const auto lease : leases_of(to))
     {
-        const auto some = manager_->take_ends(lease);
-        ends.insert(ends.end(), some.begin(), some.end());
+        const auto random_duration = manager_->take_ends(lease);
+        ends.insert(ends.end(), random_duration.begin(), random_duration.end());
         const auto more = manager_->take_started(lease);
         begun.insert(begun.end(), more.begin(), more.end());
     }
     out.next_within = pacing_.heartbeat(to.status, open_sessions());
     out.sent_at = node_.clock().now();
     to.reporting = true;
-    to.told_life = account.incarnation();
+    to.reported_incarnation = account.incarnation();
     to.status.urgent = to.status.load = false;
     to.status.reported = out.sent_at;
     to.connection->send(
         direction::to_entry,
-        [this, agent = number_, ear = to.ear, ear_number = to.ear_number,
-         number = to.number, sent = out.sent_at, out, ends, begun,
-         connection = to.connection]
+        [this, agent = number_, receiver = to.receiver,
+         connection_number = to.connection_number, number = to.number,
+         sent = out.sent_at, out, ends, begun, connection = to.connection]
         {
             const auto answer =
-                ear->on_report(agent, ear_number, out, ends, begun);
+                receiver->on_report(agent, connection_number, out, ends, begun);
             connection->send(direction::to_agent, [this, number, sent, answer]
-                             { answered(number, sent, answer); });
+                             { handle_report_answer(number, sent, answer); });
         });
 }
 
-void simulated_agent::answered(std::uint64_t number, instant sent,
-                               const report_answer& answer)
+void simulated_agent::handle_report_answer(std::uint64_t number, instant sent,
+                                           const report_answer& answer)
 {
     for (const auto& end : answer.confirmed)
         manager_->confirm(end);
@@ -360,9 +360,9 @@
     for (const auto& part : answer.renewed)
         manager_->renew(part.part, part.epoch, sent);
     if (from->status.urgent)
-        schedule_now();
+        schedule_urgent_report();
     else if (from->status.load)
-        schedule_room();
+        schedule_load_report();
 }
 
 } // namespace glenhollow
--- a/tests/schedule/simulated_agent.hpp
+++ b/tests/schedule/simulated_agent.hpp
@@ -24,10 +24,10 @@
 };
 
 /// The side of a session that an entry offers to the agent.
-class report_ear
+class report_receiver
 {
 public:
-    virtual ~report_ear() = default;
+    virtual ~report_receiver() = default;
 
     /// @param number Of the connection at the entry.
     /// @param report Of the agent's server.
@@ -56,16 +56,16 @@
 /// | ------------- | ----------------------------------------------------- |
 /// | attach        | run_agent_service::agent_server::attach, ::open       |
 /// | adopt         | run_agent_service::session_server::adopt, ::once_known  |
-/// | tell_account  | the same, and ::adopted                               |
-/// | tell_waiting  | the same                                              |
+/// | send_account  | the same, and ::adopted                               |
+/// | resume_waiting  | the same                                              |
 /// | order         | run_agent_service::session_server::order, ::ordered   |
 /// | report        | run_agent_service::flush, ::is_due, ::report          |
 /// | answered      | run_agent_service::report_answered                    |
 /// | closed        | run_agent_service::report_failed                      |
-/// | lease_changed | the same, and ::schedule_now                          |
-/// | load_changed  | the same, and ::schedule_room                         |
-/// | tick          | durable_agent::tick: the manager, then the service    |
-/// | begin         | durable_agent's start; remembered or registered soon  |
+/// | lease_changed | the same, and ::schedule_urgent_report | | load_changed  |
+/// the same, and ::schedule_load_report                         | | tick |
+/// durable_agent::tick: the manager, then the service    | | begin         |
+/// durable_agent's start; remembered or registered soon  |
 class simulated_agent final : private run_listener
 {
 public:
@@ -87,15 +87,15 @@
 
     /// An entry attaches.
     attach_answer attach(std::size_t entry, std::uint64_t incarnation,
-                         std::uint64_t number, report_ear& ear,
+                         std::uint64_t number, report_receiver& receiver,
                          std::shared_ptr<simulated_connection> connection);
     /// @param told The account, once the manager knows what runs.
     void adopt(std::uint64_t session, part_epoch part,
-               std::function<void(const lease_account&)> told);
+               std::function<void(const lease_account&)> done);
     void order(std::uint64_t session, order_batch batch);
 
     /// The connection of a session is gone.
-    void closed(std::uint64_t session);
+    void session_closed(std::uint64_t session);
 
     /// Its server registers itself, as each heartbeat does.
     void heartbeat();
@@ -106,17 +106,17 @@
 private:
     struct session
     {
-        std::size_t entry = 0;         ///< Whose.
-        std::uint64_t number = 0;      ///< Here.
-        std::uint64_t ear_number = 0;  ///< At the entry.
-        std::uint64_t incarnation = 0; ///< Of the entry's process.
-        lease_id memory = 0;           ///< Of its jobs in memory.
-        std::uint64_t received = 0;    ///< Order batches.
-        bool open = false;             ///< It can be reported to.
-        bool reporting = false;        ///< A report is out.
-        report_status status;          ///< What it has to be told.
-        server_incarnation told_life;  ///< Whose account it was told.
-        report_ear* ear = nullptr;     ///< The entry's side.
+        std::size_t entry = 0;                   ///< Whose.
+        std::uint64_t number = 0;                ///< Here.
+        std::uint64_t connection_number = 0;     ///< At the entry.
+        std::uint64_t incarnation = 0;           ///< Of the entry's process.
+        lease_id memory = 0;                     ///< Of its jobs in memory.
+        std::uint64_t received = 0;              ///< Order batches.
+        bool open = false;                       ///< It can be reported to.
+        bool reporting = false;                  ///< A report is out.
+        report_status status;                    ///< What it has to be told.
+        server_incarnation reported_incarnation; ///< Whose account it was told.
+        report_receiver* receiver = nullptr;     ///< The entry's side.
         std::shared_ptr<simulated_connection> connection; ///< Its own.
     };
 
@@ -125,18 +125,18 @@
     void load_changed() override;
     void phase_changed() override;
     void tick();
-    void tell_account(std::uint64_t session, part_epoch part,
-                      const std::function<void(const lease_account&)>& told);
-    void tell_waiting();
-    void schedule_now();
-    void schedule_room();
-    void flush();
-    void mark_busy();
+    void send_account(std::uint64_t session, part_epoch part,
+                      const std::function<void(const lease_account&)>& done);
+    void resume_waiting();
+    void schedule_urgent_report();
+    void schedule_load_report();
+    void send_due_reports();
+    void update_busy_sessions();
     std::size_t open_sessions() const;
     void report(session& to);
-    void answered(std::uint64_t number, instant sent,
-                  const report_answer& answer);
-    void adopted(session& owner, lease_id lease);
+    void handle_report_answer(std::uint64_t number, instant sent,
+                              const report_answer& answer);
+    void handle_adoption(session& owner, lease_id lease);
     std::vector<lease_id> leases_of(const session& of) const;
     session* find(std::uint64_t number);
     session* owner_of(lease_id lease);
@@ -150,12 +150,12 @@
     std::unique_ptr<run_manager> manager_;           ///< Of the process.
     std::map<std::size_t, session> sessions_;        ///< By entry.
     std::map<lease_id, std::uint64_t> owners_;       ///< Session by lease.
-    std::vector<std::function<void()>> waiting_;     ///< For what runs.
-    std::uint32_t processes_ = 0;                    ///< Of entries, so far.
-    std::uint64_t numbers_ = 0;                      ///< Of sessions.
-    std::uint64_t sequence_ = 0;                     ///< Of heartbeats.
-    bool scheduled_ = false;                         ///< A flush comes.
-    bool room_scheduled_ = false;                    ///< One for room, too.
+    std::vector<std::function<void()>> waiting_adoptions_; ///< For what runs.
+    std::uint32_t entry_processes_ = 0;     ///< Of entries, so far.
+    std::uint64_t last_session_number_ = 0; ///< Of sessions.
+    std::uint64_t sequence_ = 0;            ///< Of heartbeats.
+    bool urgent_report_scheduled_ = false;  ///< A flush comes.
+    bool load_report_scheduled_ = false;    ///< One for room, too.
 };
 
 } // namespace glenhollow
--- a/tests/schedule/simulated_entry.cpp
+++ b/tests/schedule/simulated_entry.cpp
@@ -13,7 +13,7 @@
 constexpr duration tick_interval = milliseconds{50};
 constexpr duration store_timeout = milliseconds{500};
 /// As in agent_sessions.cpp.
-constexpr duration longest_gap = seconds{5};
+constexpr duration max_session_gap = seconds{5};
 
 std::string agent_name(std::size_t agent)
 {
@@ -40,30 +40,30 @@
 job_coordinator::dependencies simulated_entry::dependencies()
 {
     return {node_.clock(), [this] { return simulated_wall_ms(time_); },
-            *watched_, *placing_, node_.delay()};
+            *watched_, *dispatcher_, node_.delay()};
 }
 
 void simulated_entry::begin()
 {
     node_.begin();
-    time_.note([&] { return node_.name() + " begins"; });
+    time_.trace([&] { return node_.name() + " begins"; });
     sessions_.clear();
     sessions_.resize(agents_.size());
     silences_.clear();
-    dispatching_ = false;
+    dispatch_scheduled_ = false;
     watched_ =
         std::make_unique<watched_store>(node_.clock(), store_, store_timeout);
     dispatcher_settings limits;
     limits.seed = time_.random();
     order_sender& sender = *this;
     task_source& tasks = *this;
-    placing_ =
+    dispatcher_ =
         std::make_unique<dispatcher>(node_.clock(), sender, tasks, limits);
     auto jobs = memory_job_settings({});
     jobs.parts = 1;
     jobs.warm_up = milliseconds{500};
     memory_ = std::make_unique<job_coordinator>(dependencies(), jobs);
-    simulated_seat::dependencies around{
+    simulated_ownership::dependencies context{
         dependencies(),
         [this]
         {
@@ -80,32 +80,33 @@
                     adopt_at(i, part);
             }
         },
-        [this] { placing_->release(0); },
-        refuses_,
+        [this] { dispatcher_->release(0); },
+        refuses_connections_,
         others_};
-    seat_ = std::make_unique<simulated_seat>(time_, std::move(around), number_,
-                                             node_.process());
-    node_.later(time_.some(milliseconds{5}), [this] { tick(); });
+    ownership_ = std::make_unique<simulated_ownership>(
+        time_, std::move(context), number_, node_.process());
+    node_.later(time_.random_duration(milliseconds{5}), [this] { tick(); });
 }
 
-void simulated_entry::end(bool told)
+void simulated_entry::end(bool notify_peers)
 {
-    if (!node_.up())
+    if (!node_.is_up())
         return;
-    time_.note([&] { return node_.name() + " ends"; });
+    time_.trace([&] { return node_.name() + " ends"; });
     for (std::size_t i = 0; i < sessions_.size(); ++i)
     {
         const auto& one = sessions_[i];
-        if (told && one.connection && one.connection->open(direction::to_entry))
+        if (notify_peers && one.connection &&
+            one.connection->open(direction::to_entry))
             one.connection->close(
                 direction::to_agent,
-                [agent = agents_[i].agent, session = one.at_agent]
-                { agent->closed(session); });
+                [agent = agents_[i].agent, session = one.agent_session]
+                { agent->session_closed(session); });
     }
     node_.end();
-    seat_.reset();
+    ownership_.reset();
     memory_.reset();
-    placing_.reset();
+    dispatcher_.reset();
     watched_.reset();
     sessions_.clear();
 }
@@ -116,15 +117,16 @@
     {
         auto& one = sessions_[i];
         // Its VM refuses what is for a process that has gone.
-        if (one.connection && one.connection->stale(direction::to_agent) &&
-            agents_[i].agent->node().up() && agents_[i].link->passes(time_))
-            fail(i, false);
+        if (one.connection &&
+            one.connection->has_restarted(direction::to_agent) &&
+            agents_[i].agent->node().is_up() && agents_[i].link->passes(time_))
+            connection_failed(i, false);
         if (!one.connection && !one.connecting &&
             node_.clock().now() >= one.retry_at)
             connect(i);
     }
-    drop_silent();
-    seat_->tick(watched_->reachable());
+    close_silent_sessions();
+    ownership_->tick(watched_->reachable());
     check_agents();
     memory_->tick();
     schedule_dispatch();
@@ -140,8 +142,8 @@
     auto* link = agents_[agent].link;
     const auto now = time_.loop.clock.now();
     auto open_at = now;
-    for (auto& lane : link->lanes)
-        open_at = std::max(open_at, lane.shut_until) + lane.delay;
+    for (auto& channel : link->channels)
+        open_at = std::max(open_at, channel.blocked_until) + channel.delay;
     time_.after(open_at - now,
                 [this, agent, mine = node_.process()]
                 {
@@ -150,13 +152,13 @@
                         return;
                     node_.deliver(duration{0},
                                   [this, agent, there,
-                                   up = agents_[agent].agent->node().up()]
+                                   is_up = agents_[agent].agent->node().is_up()]
                                   {
                                       auto& to = sessions_[agent];
                                       to.connecting = false;
                                       auto& node = agents_[agent].agent->node();
-                                      if (!up || node.process() != there)
-                                          return fail(agent, true);
+                                      if (!is_up || node.process() != there)
+                                          return connection_failed(agent, true);
                                       connected(agent);
                                   });
                 });
@@ -169,7 +171,7 @@
     to.backoff.connected();
     to.connection = std::make_shared<simulated_connection>(
         time_, *agents_[agent].link, node_, with.node());
-    to.number = ++numbers_;
+    to.number = ++last_session_number_;
     to.clock.reset();
     const agent_sessions_settings limits;
     to.silent_since =
@@ -194,12 +196,12 @@
 {
     auto& to = sessions_[agent];
     to.process = answer.process;
-    to.at_agent = answer.session;
+    to.agent_session = answer.session;
     to.attached = true;
     to.silent_since = node_.clock().now();
-    time_.note([&]
-               { return node_.name() + " has attached " + agent_name(agent); });
-    placing_->attached(agent_name(agent), answer.state);
+    time_.trace(
+        [&] { return node_.name() + " has attached " + agent_name(agent); });
+    dispatcher_->attached(agent_name(agent), answer.state);
     silences_[agent_name(agent)] = {node_.clock().now(), false, false};
     for (const auto& part : owned_parts())
         adopt_at(agent, part);
@@ -208,8 +210,8 @@
 std::vector<part_epoch> simulated_entry::owned_parts() const
 {
     std::vector<part_epoch> all;
-    if (seat_->jobs() != nullptr)
-        all.push_back(seat_->jobs()->epoch());
+    if (ownership_->jobs() != nullptr)
+        all.push_back(ownership_->jobs()->epoch());
     all.push_back(memory_->epoch());
     return all;
 }
@@ -217,15 +219,15 @@
 std::vector<part_epoch> simulated_entry::renewed_parts() const
 {
     std::vector<part_epoch> all;
-    if (seat_->is_valid())
-        all.push_back(seat_->jobs()->epoch());
+    if (ownership_->is_valid())
+        all.push_back(ownership_->jobs()->epoch());
     all.push_back(memory_->epoch());
     return all;
 }
 
 job_coordinator* simulated_entry::coordinator_of(part_number part)
 {
-    return part == memory_part ? memory_.get() : seat_->jobs();
+    return part == memory_part ? memory_.get() : ownership_->jobs();
 }
 
 void simulated_entry::adopt_at(std::size_t agent, part_epoch part)
@@ -233,7 +235,7 @@
     const auto& at = sessions_[agent];
     at.connection->send(
         direction::to_agent,
-        [this, agent, part, number = at.number, session = at.at_agent,
+        [this, agent, part, number = at.number, session = at.agent_session,
          connection = at.connection, with = agents_[agent].agent]
         {
             with->adopt(session, part,
@@ -251,24 +253,25 @@
         });
 }
 
-bool simulated_entry::kept_all(session& by)
+bool simulated_entry::is_account_complete(session& by)
 {
-    const bool same = std::exchange(by.accounted, by.process) == by.process &&
-                      by.process != 0;
-    return same && node_.clock().now() - by.down_since < longest_gap;
+    const bool same =
+        std::exchange(by.accounted_process, by.process) == by.process &&
+        by.process != 0;
+    return same && node_.clock().now() - by.down_since < max_session_gap;
 }
 
 void simulated_entry::adopted(std::size_t agent, part_epoch part,
                               lease_account account)
 {
     if (part.part == memory_part)
-        account.complete = kept_all(sessions_[agent]);
+        account.complete = is_account_complete(sessions_[agent]);
     auto* jobs = coordinator_of(part.part);
     if (jobs == nullptr || jobs->epoch() != part)
         return;
     if (account.declined)
         return jobs->verify_ownership();
-    placing_->adopted(agent_name(agent), part.part);
+    dispatcher_->adopted(agent_name(agent), part.part);
     jobs->reconcile_agent(agent_name(agent), account);
     schedule_dispatch();
 }
@@ -287,7 +290,7 @@
         from.clock.on_report(report.sent_at, now);
         from.silent_since = silent_since(now, report.next_within);
         silences_[name] = {from.silent_since, false, false};
-        placing_->reported(name, report);
+        dispatcher_->reported(name, report);
         for (const auto& run : begun)
         {
             if (auto* jobs = coordinator_of(run.in_memory() ? memory_part : 0))
@@ -301,7 +304,7 @@
         }
         schedule_dispatch();
     }
-    return {renewed_parts(), placing_->take_confirmed(name), {}};
+    return {renewed_parts(), dispatcher_->take_confirmed(name), {}};
 }
 
 void simulated_entry::send(const std::string& name, order_batch batch)
@@ -317,21 +320,21 @@
     if (!batch.starts.empty())
         batch.leased_at = to.clock.at(to.silent_since).value_or(instant{});
     for (const auto& start : batch.starts)
-        time_.note(
+        time_.trace(
             [&]
             {
                 return node_.name() + " orders " + run_checks::name(start.run) +
                        " at " + name;
             });
     for (const auto& run : batch.stops)
-        time_.note(
+        time_.trace(
             [&] {
                 return node_.name() + " stops " + run_checks::name(run) +
                        " at " + name;
             });
-    to.connection->send(direction::to_agent,
-                        [with = agents_[agent].agent, session = to.at_agent,
-                         batch] { with->order(session, batch); });
+    to.connection->send(direction::to_agent, [with = agents_[agent].agent,
+                                              session = to.agent_session, batch]
+                        { with->order(session, batch); });
 }
 
 std::optional<run_order> simulated_entry::assign(const ready_task& task,
@@ -344,7 +347,7 @@
 }
 
 /// The connection, or an attempt to connect, has failed.
-void simulated_entry::fail(std::size_t agent, bool refused)
+void simulated_entry::connection_failed(std::size_t agent, bool refused)
 {
     auto& gone = sessions_[agent];
     gone.connection.reset();
@@ -354,43 +357,44 @@
     if (!std::exchange(gone.attached, false))
         return;
     gone.down_since = std::min(node_.clock().now(), gone.silent_since);
-    time_.note([&] { return node_.name() + " has lost " + agent_name(agent); });
-    placing_->detached(agent_name(agent));
+    time_.trace([&]
+                { return node_.name() + " has lost " + agent_name(agent); });
+    dispatcher_->detached(agent_name(agent));
 }
 
-void simulated_entry::drop(std::size_t agent)
+void simulated_entry::close_session(std::size_t agent)
 {
     auto& one = sessions_[agent];
-    one.connection->close(direction::to_agent,
-                          [with = agents_[agent].agent, session = one.at_agent]
-                          { with->closed(session); });
-    fail(agent, false);
+    one.connection->close(direction::to_agent, [with = agents_[agent].agent,
+                                                session = one.agent_session]
+                          { with->session_closed(session); });
+    connection_failed(agent, false);
 }
 
 void simulated_entry::reset(std::size_t agent)
 {
-    if (!node_.up() || !sessions_[agent].connection)
+    if (!node_.is_up() || !sessions_[agent].connection)
         return;
     auto& one = sessions_[agent];
-    time_.note(
+    time_.trace(
         [&] {
             return "network resets " + node_.name() + " to " +
                    agent_name(agent);
         });
     one.connection->reset();
     auto& with = *agents_[agent].agent;
-    with.node().deliver(time_.some(milliseconds{5}),
-                        [&with, session = one.at_agent]
-                        { with.closed(session); });
-    node_.deliver(time_.some(milliseconds{5}),
+    with.node().deliver(time_.random_duration(milliseconds{5}),
+                        [&with, session = one.agent_session]
+                        { with.session_closed(session); });
+    node_.deliver(time_.random_duration(milliseconds{5}),
                   [this, agent, was = one.connection]
                   {
                       if (sessions_[agent].connection == was)
-                          fail(agent, false);
+                          connection_failed(agent, false);
                   });
 }
 
-void simulated_entry::drop_silent()
+void simulated_entry::close_silent_sessions()
 {
     const agent_sessions_settings limits;
     for (std::size_t i = 0; i < sessions_.size(); ++i)
@@ -400,20 +404,20 @@
             continue;
         if (one.connection->open(direction::to_entry) &&
             node_.clock().now() - one.silent_since > limits.silence)
-            drop(i);
+            close_session(i);
     }
 }
 
-void simulated_entry::told_ended(std::size_t agent)
+void simulated_entry::on_agent_ended(std::size_t agent)
 {
-    if (!node_.up() || !sessions_[agent].connection)
+    if (!node_.is_up() || !sessions_[agent].connection)
         return;
     const auto was = sessions_[agent].connection;
     was->close(direction::to_entry,
                [this, agent, was]
                {
                    if (sessions_[agent].connection == was)
-                       fail(agent, true);
+                       connection_failed(agent, true);
                });
 }
 
@@ -426,34 +430,34 @@
         if (!silence.memory_ended && length > memory_agent_timeout)
         {
             silence.memory_ended = true;
-            time_.note([&]
-                       { return node_.name() + " gives " + agent + " up"; });
+            time_.trace([&]
+                        { return node_.name() + " gives " + agent + " up"; });
             memory_->on_agent_lost(agent);
         }
         if (silence.parts_ended ||
             length <= job_coordinator_settings{}.agent_timeout)
             continue;
         silence.parts_ended = true;
-        if (auto* part = seat_->jobs())
+        if (auto* part = ownership_->jobs())
             part->on_agent_lost(agent);
     }
 }
 
 void simulated_entry::schedule_dispatch()
 {
-    if (std::exchange(dispatching_, true))
+    if (std::exchange(dispatch_scheduled_, true))
         return;
     node_.later(duration{0},
                 [this]
                 {
-                    dispatching_ = false;
-                    placing_->dispatch();
+                    dispatch_scheduled_ = false;
+                    dispatcher_->dispatch();
                 });
 }
 
 void simulated_entry::submit(const job_definition& job, job_reply_handler done)
 {
-    time_.note(
+    time_.trace(
         [&] { return node_.name() + " gets job " + std::to_string(job.id); });
     auto* jobs = coordinator_of(
         job.durability_class == durability::in_memory ? memory_part : 0);
@@ -465,7 +469,7 @@
 
 void simulated_entry::withdraw(job_id id)
 {
-    time_.note(
+    time_.trace(
         [&] {
             return node_.name() + "'s caller of " + std::to_string(id) +
                    " left";
--- a/tests/schedule/simulated_link.hpp
+++ b/tests/schedule/simulated_link.hpp
@@ -24,25 +24,29 @@
 struct simulated_link
 {
     /// One way.
-    struct lane
+    struct channel
     {
         duration delay = microseconds{300}; ///< Of a message.
-        instant shut_until{};               ///< Nothing passes before.
+        instant blocked_until{};            ///< Nothing passes before.
     };
 
     /// @param way Which.
     /// @return That lane.
-    lane& to(direction way) { return lanes[static_cast<std::size_t>(way)]; }
+    channel& to(direction direction_to)
+    {
+        return channels[static_cast<std::size_t>(direction_to)];
+    }
 
     /// @param time Of the simulation.
     /// @return Whether messages pass both ways now.
     bool passes(const simulated_time& time) const
     {
         const auto now = time.loop.clock.now();
-        return lanes[0].shut_until <= now && lanes[1].shut_until <= now;
+        return channels[0].blocked_until <= now &&
+               channels[1].blocked_until <= now;
     }
 
-    std::array<lane, 2> lanes; ///< By direction.
+    std::array<channel, 2> channels; ///< By direction.
 };
 
 /// One connection between an entry's and an agent's process. Messages of one
@@ -65,17 +69,18 @@
 
     /// @param way Where to.
     /// @param work What the receiver does with the message.
-    void send(direction way, std::function<void()> work)
+    void send(direction direction_to, std::function<void()> work)
     {
-        const auto to = static_cast<std::size_t>(way);
-        if (stale(way))
+        const auto to = static_cast<std::size_t>(direction_to);
+        if (has_restarted(direction_to))
             return;
         const auto now = time_.loop.clock.now();
-        const auto& lane = link_.to(way);
-        auto arrival = now + lane.delay + time_.some(lane.delay);
-        arrival = std::max({arrival, lane.shut_until + lane.delay,
-                            last_[to] + microseconds{1}});
-        last_[to] = arrival;
+        const auto& channel = link_.to(direction_to);
+        auto arrival =
+            now + channel.delay + time_.random_duration(channel.delay);
+        arrival = std::max({arrival, channel.blocked_until + channel.delay,
+                            last_arrivals_[to] + microseconds{1}});
+        last_arrivals_[to] = arrival;
         nodes_[to]->deliver(
             arrival - now,
             [self = shared_from_this(), to, work = std::move(work)]
@@ -88,16 +93,17 @@
     /// One side closes; the other hears of it after all that was sent.
     /// @param from Whose messages are the last ones.
     /// @param told Done at the other side.
-    void close(direction from, std::function<void()> told)
+    void close(direction from, std::function<void()> on_closed)
     {
         const auto other = static_cast<std::size_t>(from);
         open_[1 - other] = false;
-        send(from,
-             [self = shared_from_this(), other, told = std::move(told)]
-             {
-                 self->open_[other] = false;
-                 told();
-             });
+        send(
+            from,
+            [self = shared_from_this(), other, on_closed = std::move(on_closed)]
+            {
+                self->open_[other] = false;
+                on_closed();
+            });
     }
 
     /// What is on its way is lost.
@@ -105,7 +111,7 @@
 
     /// @param side The receiver of that direction.
     /// @return Whether its process has ended since.
-    bool stale(direction side) const
+    bool has_restarted(direction side) const
     {
         const auto to = static_cast<std::size_t>(side);
         return nodes_[to]->process() != processes_[to];
@@ -123,7 +129,7 @@
     simulated_link& link_;                   ///< Its network.
     std::array<simulated_node*, 2> nodes_;   ///< Receivers by direction.
     std::array<std::uint64_t, 2> processes_; ///< Of these, at the begin.
-    std::array<instant, 2> last_{};          ///< Last arrivals.
+    std::array<instant, 2> last_arrivals_{}; ///< Last arrivals.
     std::array<bool, 2> open_{true, true};   ///< By receiver.
     bool reset_ = false;                     ///< By the network.
 };
--- a/tests/schedule/simulated_node.hpp
+++ b/tests/schedule/simulated_node.hpp
@@ -36,7 +36,7 @@
 
     /// @param line Made only where somebody reads it.
     template <class Line>
-    void note(Line&& line)
+    void trace(Line&& line)
     {
         if (!tracing_)
             return;
@@ -49,7 +49,7 @@
 
     /// @param most Exclusive.
     /// @return A time below it.
-    duration some(duration most)
+    duration random_duration(duration most)
     {
         return duration{static_cast<duration::rep>(
             uniform(random) * static_cast<double>(most.count()))};
@@ -62,16 +62,17 @@
     /// @param from What can be drawn.
     /// @return One of it.
     template <class Values>
-    auto one_of(const Values& from)
+    auto pick(const Values& from)
     {
         return *(std::begin(from) + random() % std::size(from));
     }
 
-    manual_loop loop;                    ///< Runs all events.
-    random_engine random;                ///< Draws.
-    std::vector<std::string> lines;      ///< Events so far, one a line.
-    const std::string* acting = nullptr; ///< Name of the process whose work is
-                                         ///< being done; null: of none.
+    manual_loop loop;               ///< Runs all events.
+    random_engine random;           ///< Draws.
+    std::vector<std::string> lines; ///< Events so far, one a line.
+    const std::string* active_process =
+        nullptr; ///< Name of the process whose work is
+                 ///< being done; null: of none.
 
 private:
     bool tracing_; ///< Lines are kept.
@@ -101,21 +102,21 @@
     double rate() const { return clock_.rate(); }
 
     /// @return Whether its process runs, or stands still.
-    bool up() const { return up_; }
+    bool is_up() const { return up_; }
 
     /// @return Number of its process, rising.
     std::uint64_t process() const { return process_; }
 
     /// @return Whether it stands still now.
-    bool still() const { return time_.loop.clock.now() < still_until_; }
+    bool is_paused() const { return time_.loop.clock.now() < paused_until_; }
 
     /// A process begins.
     void begin()
     {
         up_ = true;
         ++process_;
-        still_until_ = {};
-        held_.clear();
+        paused_until_ = {};
+        deferred_.clear();
     }
 
     /// Its process ends; nothing of it is done any more.
@@ -123,22 +124,22 @@
     {
         up_ = false;
         ++process_;
-        held_.clear();
+        deferred_.clear();
     }
 
     /// @param length It stands still so long from now on.
-    void stand_still(duration length)
+    void pause(duration length)
     {
         const auto until = time_.loop.clock.now() + length;
-        if (!up_ || until <= still_until_)
+        if (!up_ || until <= paused_until_)
             return;
-        still_until_ = until;
-        time_.note([&] { return name_ + " stands still"; });
+        paused_until_ = until;
+        time_.trace([&] { return name_ + " stands still"; });
         time_.after(length,
                     [this, mine = process_, until]
                     {
-                        if (process_ == mine && still_until_ == until)
-                            go_on();
+                        if (process_ == mine && paused_until_ == until)
+                            resume();
                     });
     }
 
@@ -150,7 +151,7 @@
         if (!up_)
             return;
         clock_.suspend(length);
-        stand_still(length);
+        pause(length);
     }
 
     /// @param wait By its own clock.
@@ -173,9 +174,9 @@
 
     /// @param way Of a message to it.
     /// @param work What it does with it.
-    void deliver(duration way, std::function<void()> work)
+    void deliver(duration message_delay, std::function<void()> work)
     {
-        schedule(way, true, std::move(work));
+        schedule(message_delay, true, std::move(work));
     }
 
     /// @return Runs delayed work of its process.
@@ -187,10 +188,10 @@
 
 private:
     /// A clock that goes at another rate than that of the simulation.
-    class own_clock final : public clock_source
+    class skewed_clock final : public clock_source
     {
     public:
-        own_clock(const clock_source& from, double rate)
+        skewed_clock(const clock_source& from, double rate)
             : from_(from), rate_(rate)
         {
         }
@@ -219,7 +220,7 @@
         duration suspended_{};     ///< So far, by this clock.
     };
 
-    struct held_work
+    struct deferred_work
     {
         bool message = false;       ///< Else a timer.
         std::function<void()> work; ///< What is to be done.
@@ -232,8 +233,8 @@
                     {
                         if (process_ != mine)
                             return;
-                        if (still())
-                            held_.push_back({message, work});
+                        if (is_paused())
+                            deferred_.push_back({message, work});
                         else
                             act(work);
                     });
@@ -241,20 +242,20 @@
 
     void act(const std::function<void()>& work)
     {
-        const auto* before = std::exchange(time_.acting, &name_);
+        const auto* before = std::exchange(time_.active_process, &name_);
         work();
-        time_.acting = before;
+        time_.active_process = before;
     }
 
-    void go_on()
+    void resume()
     {
-        time_.note([&] { return name_ + " goes on"; });
+        time_.trace([&] { return name_ + " goes on"; });
         const bool messages_first = time_.chance(0.5);
-        const auto held = std::exchange(held_, {});
+        const auto deferred = std::exchange(deferred_, {});
         const auto mine = process_;
         for (const bool messages : {messages_first, !messages_first})
         {
-            for (const auto& one : held)
+            for (const auto& one : deferred)
             {
                 if (one.message == messages && process_ == mine)
                     act(one.work);
@@ -262,13 +263,13 @@
         }
     }
 
-    simulated_time& time_;        ///< Of the simulation.
-    std::string name_;            ///< Its name.
-    own_clock clock_;             ///< Its clock.
-    bool up_ = false;             ///< Its process runs.
-    std::uint64_t process_ = 0;   ///< Number of the process.
-    instant still_until_{};       ///< It stands still until then.
-    std::vector<held_work> held_; ///< To be done when it goes on.
+    simulated_time& time_;                ///< Of the simulation.
+    std::string name_;                    ///< Its name.
+    skewed_clock clock_;                  ///< Its clock.
+    bool up_ = false;                     ///< Its process runs.
+    std::uint64_t process_ = 0;           ///< Number of the process.
+    instant paused_until_{};              ///< It stands still until then.
+    std::vector<deferred_work> deferred_; ///< To be done when it goes on.
 };
 
 } // namespace glenhollow
--- a/tests/schedule/simulated_seat.cpp
+++ b/tests/schedule/simulated_ownership.cpp
@@ -1,4 +1,4 @@
-#include "simulated_seat.hpp"
+#include "simulated_ownership.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -11,7 +11,7 @@
 
 /// Of a call that gets no answer.
 constexpr duration store_timeout = milliseconds{400};
-constexpr duration way = microseconds{700};
+constexpr duration message_delay = microseconds{700};
 
 std::string entry_name(std::size_t entry)
 {
@@ -25,26 +25,27 @@
 template <class Result, class Call>
 void simulated_store::call(std::function<void(Result)> done, Call serve)
 {
-    const auto told = std::make_shared<bool>(false);
-    const auto once = [told, done = std::move(done)](const Result& got)
+    const auto completed = std::make_shared<bool>(false);
+    const auto once = [completed, done = std::move(done)](const Result& got)
     {
-        if (!std::exchange(*told, true))
+        if (!std::exchange(*completed, true))
             done(got);
     };
     caller->later(store_timeout, [once] { once({}); });
-    if (time_.loop.clock.now() < shut_until)
+    if (time_.loop.clock.now() < blocked_until)
         return;
-    const bool silent = time_.chance(lost_answers);
-    time_.after(way,
-                [this, serve, once, silent, mine = caller->process()]
+    const bool drop_answer = time_.chance(lost_answers);
+    time_.after(message_delay,
+                [this, serve, once, drop_answer, mine = caller->process()]
                 {
                     serve(
-                        [this, once, silent, mine](const Result& got)
+                        [this, once, drop_answer, mine](const Result& got)
                         {
-                            if (silent || caller->process() != mine ||
-                                time_.loop.clock.now() < shut_until)
+                            if (drop_answer || caller->process() != mine ||
+                                time_.loop.clock.now() < blocked_until)
                                 return;
-                            caller->deliver(way, [once, got] { once(got); });
+                            caller->deliver(message_delay,
+                                            [once, got] { once(got); });
                         });
                 });
 }
@@ -66,9 +67,11 @@
 {
 }
 
-simulated_seat::simulated_seat(simulated_time& time, dependencies around,
-                               std::size_t entry, std::uint64_t incarnation)
-    : time_(time), around_(std::move(around)), entry_(entry),
+simulated_ownership::simulated_ownership(simulated_time& time,
+                                         dependencies context,
+                                         std::size_t entry,
+                                         std::uint64_t incarnation)
+    : time_(time), context_(std::move(context)), entry_(entry),
       incarnation_(incarnation)
 {
     settings_.parts = 1;
@@ -76,26 +79,26 @@
     settings_.jobs.entry = entry_name(entry);
 }
 
-void simulated_seat::hear(std::size_t entry, seat_view view)
+void simulated_ownership::receive_view(std::size_t entry, ownership_view view)
 {
-    view.heard = around_.jobs.clock.now();
+    view.received_at = context_.jobs.clock.now();
     views_[entry] = view;
 }
 
-seat_view simulated_seat::view() const
+ownership_view simulated_ownership::view() const
 {
     return {{},           {},
             incarnation_, jobs_ ? jobs_->epoch().epoch : 0,
             released_,    reachable_};
 }
 
-bool simulated_seat::is_live(const seat_view& view) const
+bool simulated_ownership::is_live(const ownership_view& view) const
 {
-    return around_.jobs.clock.now() - view.heard <=
+    return context_.jobs.clock.now() - view.received_at <=
            exchange_pacing_settings{}.silence;
 }
 
-bool simulated_seat::has_live_owner() const
+bool simulated_ownership::has_live_owner() const
 {
     return std::any_of(views_.begin(), views_.end(),
                        [this](const auto& one) {
@@ -103,7 +106,7 @@
                        });
 }
 
-bool simulated_seat::is_superseded() const
+bool simulated_ownership::is_superseded() const
 {
     const auto own = jobs_->epoch().epoch;
     return std::any_of(views_.begin(), views_.end(),
@@ -115,7 +118,7 @@
                        });
 }
 
-bool simulated_seat::others_reach() const
+bool simulated_ownership::others_reach_store() const
 {
     return std::any_of(views_.begin(), views_.end(),
                        [this](const auto& one) {
@@ -124,10 +127,10 @@
                        });
 }
 
-void simulated_seat::tick(bool reachable)
+void simulated_ownership::tick(bool reachable)
 {
     reachable_ = reachable;
-    const auto now = around_.jobs.clock.now();
+    const auto now = context_.jobs.clock.now();
     if (jobs_ && is_superseded())
     {
         jobs_->abandon();
@@ -137,14 +140,14 @@
     {
         check_claim();
         jobs_->tick();
-        if (!reachable && others_reach())
+        if (!reachable && others_reach_store())
             release();
         return;
     }
     if (has_live_owner())
     {
         free_since_ = {};
-        looked_ = false;
+        head_seen_ = false;
         return;
     }
     if (free_since_.count() == 0)
@@ -155,37 +158,37 @@
         read_head();
 }
 
-bool simulated_seat::is_valid() const
+bool simulated_ownership::is_valid() const
 {
     return jobs_ &&
-           evidence_.is_valid(around_.jobs.clock.now(), oldest_confirmation());
+           validity_.is_valid(context_.jobs.clock.now(), oldest_confirmation());
 }
 
-instant simulated_seat::oldest_confirmation() const
+instant simulated_ownership::oldest_confirmation() const
 {
-    const auto now = around_.jobs.clock.now();
+    const auto now = context_.jobs.clock.now();
     auto oldest = now;
-    for (const auto other : around_.others)
+    for (const auto other : context_.others)
     {
-        if (around_.refuses(other))
+        if (context_.refuses_connections(other))
             continue;
         const auto known = views_.find(other);
         if (known == views_.end() ||
             std::max(known->second.epoch, known->second.released) >
                 jobs_->epoch().epoch)
             return {};
-        oldest = std::min(oldest, known->second.asked);
+        oldest = std::min(oldest, known->second.requested_at);
     }
     return oldest;
 }
 
-void simulated_seat::check_claim()
+void simulated_ownership::check_claim()
 {
-    const auto now = around_.jobs.clock.now();
-    if (!evidence_.begin_store_check(now))
+    const auto now = context_.jobs.clock.now();
+    if (!validity_.begin_store_check(now))
         return;
     const auto head = head_key(0);
-    around_.jobs.store.read(
+    context_.jobs.store.read(
         {head.table, head.part, head.key, {}, 1},
         [this, alive = alive_, now,
          epoch = jobs_->epoch().epoch](const read_result& got)
@@ -196,7 +199,7 @@
                 return;
             const auto seen = decode_head(got.rows.front()).value();
             if (seen.incarnation == incarnation_ && seen.epoch == epoch)
-                return evidence_.store_confirmed(now);
+                return validity_.store_confirmed(now);
             if (seen.epoch <= epoch)
                 return;
             jobs_->abandon();
@@ -204,19 +207,19 @@
         });
 }
 
-void simulated_seat::read_head()
+void simulated_ownership::read_head()
 {
     claiming_ = true;
     const auto head = head_key(0);
-    around_.jobs.store.read({head.table, head.part, head.key, {}, 1},
-                            [this, alive = alive_](const read_result& got)
-                            {
-                                if (*alive)
-                                    head_read(got);
-                            });
+    context_.jobs.store.read({head.table, head.part, head.key, {}, 1},
+                             [this, alive = alive_](const read_result& got)
+                             {
+                                 if (*alive)
+                                     head_read(got);
+                             });
 }
 
-bool simulated_seat::is_free(const chain_head& head) const
+bool simulated_ownership::is_free(const chain_head& head) const
 {
     if (head.version == 0 || head.owner == entry_name(entry_))
         return true;
@@ -229,27 +232,27 @@
     return false;
 }
 
-void simulated_seat::head_read(const read_result& got)
+void simulated_ownership::head_read(const read_result& got)
 {
     if (!got.answered || has_live_owner())
-        return fail();
+        return schedule_retry();
     chain_head head;
     if (!got.rows.empty() && got.rows.front().key == head_key(0))
         head = decode_head(got.rows.front()).value();
-    const auto now = around_.jobs.clock.now();
-    const bool settled = looked_ && seen_.version == head.version &&
+    const auto now = context_.jobs.clock.now();
+    const bool settled = head_seen_ && seen_head_.version == head.version &&
                          now - free_since_ >= settings_.settle_time;
     if (is_free(head) || settled)
         return claim(head);
-    seen_ = head;
-    looked_ = true;
+    seen_head_ = head;
+    head_seen_ = true;
     claiming_ = false;
     retry_at_ = now + settings_.settle_time;
 }
 
-void simulated_seat::claim(const chain_head& head)
+void simulated_ownership::claim(const chain_head& head)
 {
-    claim_sent_ = around_.jobs.clock.now();
+    claim_sent_ = context_.jobs.clock.now();
     chain_head wanted;
     wanted.owner = entry_name(entry_);
     wanted.incarnation = incarnation_;
@@ -257,85 +260,85 @@
     row_transaction change;
     change.expected.push_back({head_key(0), head.version});
     change.puts.push_back({head_key(0), encode_head(wanted)});
-    around_.jobs.store.commit(
+    context_.jobs.store.commit(
         change,
         [this, alive = alive_, wanted](const commit_result& got)
         {
             if (!*alive)
                 return;
             if (got.outcome != store_outcome::done)
-                return fail();
+                return schedule_retry();
             auto mine = wanted;
             mine.version = got.version;
-            load_part(around_.jobs.store, 0,
+            load_part(context_.jobs.store, 0,
                       [this, alive, mine](std::optional<loaded_part> rows)
                       {
                           if (!*alive)
                               return;
                           if (!rows)
-                              return fail();
+                              return schedule_retry();
                           loaded(mine, std::move(*rows));
                       });
         });
 }
 
-void simulated_seat::loaded(const chain_head& head, loaded_part rows)
+void simulated_ownership::loaded(const chain_head& head, loaded_part rows)
 {
     claiming_ = false;
     free_since_ = {};
-    looked_ = false;
-    time_.note(
+    head_seen_ = false;
+    time_.trace(
         [&]
         {
             return entry_name(entry_) + " owns the part, epoch " +
                    std::to_string(head.epoch);
         });
-    evidence_ = claim_validity();
-    evidence_.store_confirmed(claim_sent_);
-    auto awaited = around_.agents();
+    validity_ = claim_validity();
+    validity_.store_confirmed(claim_sent_);
+    auto awaited = context_.agents();
     if (rows.jobs.empty())
         awaited.clear();
     jobs_ = std::make_unique<job_coordinator>(
-        around_.jobs, 0, head, std::move(rows), std::move(awaited),
+        context_.jobs, 0, head, std::move(rows), std::move(awaited),
         settings_.jobs,
         [this, alive = alive_]
         {
-            around_.jobs.later(duration{0},
-                               [this, alive]
-                               {
-                                   if (*alive)
-                                       lose();
-                               });
+            context_.jobs.later(duration{0},
+                                [this, alive]
+                                {
+                                    if (*alive)
+                                        lose();
+                                });
         });
-    around_.gained(jobs_->epoch());
+    context_.ownership_acquired(jobs_->epoch());
 }
 
-void simulated_seat::fail()
+void simulated_ownership::schedule_retry()
 {
     claiming_ = false;
-    retry_at_ = around_.jobs.clock.now() + settings_.claim_retry_delay;
+    retry_at_ = context_.jobs.clock.now() + settings_.claim_retry_delay;
 }
 
-void simulated_seat::lose()
+void simulated_ownership::lose()
 {
     if (!jobs_)
         return;
-    time_.note([&] { return entry_name(entry_) + " has lost the part"; });
+    time_.trace([&] { return entry_name(entry_) + " has lost the part"; });
     jobs_.reset();
-    free_since_ = around_.jobs.clock.now();
+    free_since_ = context_.jobs.clock.now();
     retry_at_ = free_since_ + settings_.claim_retry_delay;
-    around_.given_up();
+    context_.ownership_ended();
 }
 
-void simulated_seat::release()
+void simulated_ownership::release()
 {
-    time_.note([&] { return entry_name(entry_) + " gives the part away"; });
+    time_.trace([&] { return entry_name(entry_) + " gives the part away"; });
     released_ = jobs_->epoch().epoch;
     jobs_->abandon();
     jobs_.reset();
-    free_since_ = around_.jobs.clock.now();
+    free_since_ = context_.jobs.clock.now();
     retry_at_ = free_since_ + settings_.settle_time * 2;
-    around_.given_up();
+    context_.ownership_ended();
 }
 
 } // namespace glenhollow
--- a/tests/schedule/simulated_seat.hpp
+++ b/tests/schedule/simulated_ownership.hpp
@@ -1,5 +1,5 @@
-#ifndef GLENHOLLOW_TESTS_SIMULATED_SEAT_HPP
-#define GLENHOLLOW_TESTS_SIMULATED_SEAT_HPP
+#ifndef GLENHOLLOW_TESTS_SIMULATED_OWNERSHIP_HPP
+#define GLENHOLLOW_TESTS_SIMULATED_OWNERSHIP_HPP
 
 #include "glenhollow/durable/job_coordinator.hpp"
 #include "glenhollow/durable/part_ownership.hpp"
@@ -33,7 +33,7 @@
                 feed_handler done) override;
 
     simulated_node* caller = nullptr; ///< The entry's process.
-    instant shut_until{};             ///< No call passes before.
+    instant blocked_until{};          ///< No call passes before.
     double lost_answers = 0;          ///< Share of calls done, unanswered.
 
 private:
@@ -45,10 +45,10 @@
 };
 
 /// What an entry tells the others, and when it was heard.
-struct seat_view
+struct ownership_view
 {
-    instant heard{};               ///< By the hearer's clock; 0: never.
-    instant asked{};               ///< When it was asked for, by that clock.
+    instant received_at{};         ///< By the hearer's clock; 0: never.
+    instant requested_at{};        ///< When it was asked for, by that clock.
     std::uint64_t incarnation = 0; ///< Of its process.
     std::uint32_t epoch = 0;       ///< Under which it owns the part; 0: not.
     std::uint32_t released = 0;    ///< Last epoch that it gave away.
@@ -67,7 +67,7 @@
 /// | check_claim | the same, and ::claim_checked                  |
 /// | oldest_confirmation   | entry_peers::oldest_confirmation | | hear, is_live
 /// | entry_peers: views, live by exchange_pacing      |
-class simulated_seat final
+class simulated_ownership final
 {
 public:
     /// What it needs of its entry.
@@ -75,11 +75,12 @@
     {
         job_coordinator::dependencies jobs;            ///< Of the coordinator.
         std::function<std::set<std::string>()> agents; ///< That may run.
-        std::function<void(part_epoch)> gained;        ///< Told.
-        std::function<void()> given_up;                ///< Told.
-        std::function<bool(std::size_t)> refuses;      ///< Whether the VM of
-                                                  ///< another entry refuses
-                                                  ///< connections.
+        std::function<void(part_epoch)> ownership_acquired; ///< Told.
+        std::function<void()> ownership_ended;              ///< Told.
+        std::function<bool(std::size_t)>
+            refuses_connections;         ///< Whether the VM of
+                                         ///< another entry refuses
+                                         ///< connections.
         std::vector<std::size_t> others; ///< The other entries.
     };
 
@@ -87,18 +88,18 @@
     /// @param around Outlives it.
     /// @param entry Number of its entry.
     /// @param incarnation Of its entry's process.
-    simulated_seat(simulated_time& time, dependencies around, std::size_t entry,
-                   std::uint64_t incarnation);
+    simulated_ownership(simulated_time& time, dependencies context,
+                        std::size_t entry, std::uint64_t incarnation);
 
     /// @param reachable Whether the store answers.
     void tick(bool reachable);
 
     /// @param entry Another one.
     /// @param view Its view.
-    void hear(std::size_t entry, seat_view view);
+    void receive_view(std::size_t entry, ownership_view view);
 
     /// @return What it tells the others.
-    seat_view view() const;
+    ownership_view view() const;
 
     /// @return The jobs, or null.
     job_coordinator* jobs() { return jobs_.get(); }
@@ -107,10 +108,10 @@
     bool is_valid() const;
 
 private:
-    bool is_live(const seat_view& view) const;
+    bool is_live(const ownership_view& view) const;
     bool has_live_owner() const;
     bool is_superseded() const;
-    bool others_reach() const;
+    bool others_reach_store() const;
     bool is_free(const chain_head& head) const;
     void check_claim();
     instant oldest_confirmation() const;
@@ -118,30 +119,30 @@
     void head_read(const read_result& got);
     void claim(const chain_head& head);
     void loaded(const chain_head& head, loaded_part rows);
-    void fail();
+    void schedule_retry();
     void lose();
     void release();
 
-    simulated_time& time_;                   ///< Of the simulation.
-    dependencies around_;                    ///< Of its entry.
-    std::size_t entry_;                      ///< Number of its entry.
-    std::uint64_t incarnation_;              ///< Of the process.
-    part_ownership_settings settings_;       ///< Limits.
-    std::map<std::size_t, seat_view> views_; ///< Of the others.
-    std::unique_ptr<job_coordinator> jobs_;  ///< While it owns the part.
-    claim_validity evidence_;                ///< For its claim.
-    instant claim_sent_{};                   ///< When that left.
-    bool claiming_ = false;                  ///< A call is out.
-    bool looked_ = false;                    ///< The head was seen before.
-    bool reachable_ = true;                  ///< The store answers.
-    chain_head seen_;                        ///< Then.
-    std::uint32_t released_ = 0;             ///< Last epoch given away.
-    instant free_since_{};                   ///< Without an owner.
-    instant retry_at_{};                     ///< No look before.
+    simulated_time& time_;                        ///< Of the simulation.
+    dependencies context_;                        ///< Of its entry.
+    std::size_t entry_;                           ///< Number of its entry.
+    std::uint64_t incarnation_;                   ///< Of the process.
+    part_ownership_settings settings_;            ///< Limits.
+    std::map<std::size_t, ownership_view> views_; ///< Of the others.
+    std::unique_ptr<job_coordinator> jobs_;       ///< While it owns the part.
+    claim_validity validity_;                     ///< For its claim.
+    instant claim_sent_{};                        ///< When that left.
+    bool claiming_ = false;                       ///< A call is out.
+    bool head_seen_ = false;                      ///< The head was seen before.
+    bool reachable_ = true;                       ///< The store answers.
+    chain_head seen_head_;                        ///< Then.
+    std::uint32_t released_ = 0;                  ///< Last epoch given away.
+    instant free_since_{};                        ///< Without an owner.
+    instant retry_at_{};                          ///< No look before.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true); ///< Guard.
 
 public:
-    ~simulated_seat() { *alive_ = false; }
+    ~simulated_ownership() { *alive_ = false; }
 };
 
 } // namespace glenhollow
--- a/tests/schedule/simulated_server.cpp
+++ b/tests/schedule/simulated_server.cpp
@@ -13,19 +13,21 @@
 constexpr duration order_timeout = milliseconds{250};
 constexpr duration hold_grace = milliseconds{250};
 /// Of a message on one VM.
-constexpr duration way = microseconds{400};
+constexpr duration message_delay = microseconds{400};
 /// A call that is carried out late waits so long at most.
-constexpr duration latest_call = milliseconds{3500};
+constexpr duration max_late_delay = milliseconds{3500};
 
-constexpr std::int64_t day_ms = 1'000'000;
+constexpr std::int64_t first_born_ms = 1'000'000;
 /// What the clock of a first life shows at its begin, where that is fixed.
-constexpr duration first_clock = seconds{8};
+constexpr duration first_clock_reading = seconds{8};
 
 } // namespace
 
 simulated_server::simulated_server(simulated_time& time, run_checks& checks,
-                                   std::size_t number, double rate, bool guards)
-    : time_(time), checks_(checks), number_(number), guards_(guards),
+                                   std::size_t number, double rate,
+                                   bool checks_capacity)
+    : time_(time), checks_(checks), number_(number),
+      checks_capacity_(checks_capacity),
       node_(time, "server " + std::to_string(number), rate)
 {
 }
@@ -33,45 +35,47 @@
 void simulated_server::begin(bool same_id)
 {
     node_.begin();
-    ++lives_;
+    ++incarnations_;
     if (!same_id || id_.empty())
-        id_ = "s" + std::to_string(number_) + "-" + std::to_string(lives_);
-    born_ms_ = day_ms + static_cast<std::int64_t>(lives_);
+        id_ =
+            "s" + std::to_string(number_) + "-" + std::to_string(incarnations_);
+    born_ms_ = first_born_ms + static_cast<std::int64_t>(incarnations_);
     const auto now = node_.clock().running();
-    origin_ = now - milliseconds{1000 + time_.random() % 5000};
+    clock_origin_ = now - milliseconds{1000 + time_.random() % 5000};
     if (clock_falls_back)
-        origin_ = now - first_clock / lives_;
-    token_ = ends_ = noted_ = 0;
-    until_ms_ = 0;
+        clock_origin_ = now - first_clock_reading / incarnations_;
+    token_ = ends_ = confirmed_ = 0;
+    hold_until_ms_ = 0;
     running_.clear();
     finished_.clear();
-    barred_.clear();
-    waiting_.clear();
-    time_.note([&] { return node_.name() + " begins as " + id_; });
+    superseded_.clear();
+    pending_polls_.clear();
+    time_.trace([&] { return node_.name() + " begins as " + id_; });
 }
 
 void simulated_server::end()
 {
-    time_.note([&] { return node_.name() + " ends"; });
+    time_.trace([&] { return node_.name() + " ends"; });
     node_.end();
     running_.clear();
     finished_.clear();
-    waiting_.clear();
-    checks_.life_ended(number_);
+    pending_polls_.clear();
+    checks_.incarnation_ended(number_);
     for (const auto& call : std::exchange(calls_, {}))
     {
-        if (!*call.told)
-            call.broken();
+        if (!*call.completed)
+            call.on_broken();
     }
 }
 
-void simulated_server::await(const std::shared_ptr<bool>& told,
-                             std::function<void()> broken)
+void simulated_server::track_call(const std::shared_ptr<bool>& completed,
+                                  std::function<void()> on_broken)
 {
-    constexpr std::size_t some_calls = 32;
-    if (calls_.size() >= some_calls)
-        std::erase_if(calls_, [](const open_call& one) { return *one.told; });
-    calls_.push_back({told, std::move(broken)});
+    constexpr std::size_t max_tracked_calls = 32;
+    if (calls_.size() >= max_tracked_calls)
+        std::erase_if(calls_,
+                      [](const open_call& one) { return *one.completed; });
+    calls_.push_back({completed, std::move(on_broken)});
 }
 
 server_account simulated_server::account() const
@@ -88,11 +92,11 @@
 std::int64_t simulated_server::now_ms() const
 {
     return std::chrono::duration_cast<milliseconds>(node_.clock().running() -
-                                                    origin_)
+                                                    clock_origin_)
         .count();
 }
 
-bool simulated_server::is_wrong(const order_context& context) const
+bool simulated_server::is_wrong_incarnation(const order_context& context) const
 {
     return !context.instance.empty() && context.instance != id_;
 }
@@ -108,33 +112,34 @@
 /// Never shortens; a longer one than the platform allows is cut.
 void simulated_server::extend(std::int64_t deadline_ms)
 {
-    const auto cut = std::min(deadline_ms, now_ms() + longest_hold_ms);
-    if (cut <= until_ms_ || cut <= now_ms())
+    const auto cut = std::min(deadline_ms, now_ms() + max_hold_ms);
+    if (cut <= hold_until_ms_ || cut <= now_ms())
         return;
-    until_ms_ = cut;
-    time_.note(
+    hold_until_ms_ = cut;
+    time_.trace(
         [&]
         {
             return node_.name() + " is held for " +
                    std::to_string(cut - now_ms()) + " ms";
         });
-    await_lapse();
+    schedule_lapse();
 }
 
-void simulated_server::await_lapse()
+void simulated_server::schedule_lapse()
 {
-    const auto left = milliseconds{until_ms_ - now_ms()};
+    const auto left = milliseconds{hold_until_ms_ - now_ms()};
     // Also a process that stands still loses its runs by then.
     const auto length =
         static_cast<double>(duration{left}.count()) / node_.rate();
     time_.after(duration{static_cast<duration::rep>(length)} +
                     microseconds{1500},
-                [this, asked = until_ms_, life = lives_]
+                [this, asked = hold_until_ms_, incarnation = incarnations_]
                 {
-                    if (life != lives_ || asked != until_ms_ || !node_.up())
+                    if (incarnation != incarnations_ ||
+                        asked != hold_until_ms_ || !node_.is_up())
                         return;
-                    if (now_ms() < until_ms_)
-                        return await_lapse(); // It was suspended meanwhile.
+                    if (now_ms() < hold_until_ms_)
+                        return schedule_lapse(); // It was suspended meanwhile.
                     lapse();
                 });
 }
@@ -144,22 +149,22 @@
     checks_.lapsed(number_);
     if (running_.empty())
         return;
-    time_.note([&] { return node_.name() + "'s hold lapses"; });
+    time_.trace([&] { return node_.name() + "'s hold lapses"; });
     while (!running_.empty())
-        finish(running_.front().mark, run_outcome::lapsed);
+        finish(running_.front().local_id, run_outcome::lapsed);
 }
 
 void simulated_server::start(const run_start& start,
                              const order_context& context,
                              const backend_server_client::order_handler& done)
 {
-    if (is_wrong(context))
+    if (is_wrong_incarnation(context))
         return done({order_outcome::wrong_incarnation, now_ms()});
     if (is_fenced(context))
         return done({order_outcome::fenced, now_ms()});
     const auto outcome = begin_run(start, context);
     if (outcome != order_outcome::done)
-        time_.note(
+        time_.trace(
             [&]
             {
                 return node_.name() + " refuses " +
@@ -182,74 +187,76 @@
             return order_outcome::done;
         used.add({1000, 10, 0});
     }
-    const auto barred = barred_.find(key(start.run.task));
-    if (barred != barred_.end() && start.run.run <= barred->second)
+    const auto superseded = superseded_.find(key(start.run.task));
+    if (superseded != superseded_.end() && start.run.run <= superseded->second)
         return order_outcome::superseded;
     if (!used.can_fit({1000, 10, 0}, capacity))
     {
-        if (guards_)
+        if (checks_capacity_)
             return order_outcome::no_room;
-        checks_.over_room(number_);
+        checks_.over_capacity(number_);
     }
     run_state state;
     state.run = start.run;
     state.began = time_.loop.clock.now();
     state.work = milliseconds{std::stoi(start.spec)};
-    state.mark = ++marks_;
+    state.local_id = ++last_local_id_;
     running_.push_back(state);
-    time_.note(
+    time_.trace(
         [&]
         { return node_.name() + " begins " + run_checks::name(start.run); });
     checks_.began(number_, start.run);
-    await_end(state.mark, state.work);
+    schedule_end(state.local_id, state.work);
     return order_outcome::done;
 }
 
-void simulated_server::await_end(std::uint64_t mark, duration left)
+void simulated_server::schedule_end(std::uint64_t local_id, duration left)
 {
-    node_.deliver(left, [this, mark] { finish(mark, run_outcome::done); });
+    node_.deliver(left,
+                  [this, local_id] { finish(local_id, run_outcome::done); });
 }
 
-void simulated_server::finish(std::uint64_t mark, run_outcome how)
+void simulated_server::finish(std::uint64_t local_id, run_outcome how)
 {
-    const auto known =
-        std::find_if(running_.begin(), running_.end(),
-                     [mark](const run_state& one) { return one.mark == mark; });
+    const auto known = std::find_if(running_.begin(), running_.end(),
+                                    [local_id](const run_state& one)
+                                    { return one.local_id == local_id; });
     if (known == running_.end())
         return;
     const auto run = known->run;
     running_.erase(known);
-    auto& barred = barred_[key(run.task)];
-    barred = std::max(barred, run.run);
+    auto& superseded = superseded_[key(run.task)];
+    superseded = std::max(superseded, run.run);
     finished_.push_back({run, how, ++ends_, 0, true});
-    time_.note(
+    time_.trace(
         [&]
         {
             return node_.name() + " ends " + run_checks::name(run) + ": " +
                    std::string(to_name(how));
         });
     checks_.ended(number_, run, how, ends_);
-    answer_looks();
+    answer_polls();
 }
 
 void simulated_server::stop(const run_ref& run, const order_context& context,
                             const backend_server_client::order_handler& done)
 {
-    if (is_wrong(context))
+    if (is_wrong_incarnation(context))
         return done({order_outcome::wrong_incarnation, now_ms()});
     if (is_fenced(context))
         return done({order_outcome::fenced, now_ms()});
-    time_.note(
+    time_.trace(
         [&] { return node_.name() + " is to stop " + run_checks::name(run); });
-    auto& barred = barred_[key(run.task)];
-    barred = std::max(barred, run.run);
+    auto& superseded = superseded_[key(run.task)];
+    superseded = std::max(superseded, run.run);
     for (auto& one : running_)
     {
         if (one.run != run || one.stopping)
             continue;
         one.stopping = true;
-        node_.deliver(time_.some(stop_time), [this, mark = one.mark]
-                      { finish(mark, run_outcome::stopped); });
+        node_.deliver(time_.random_duration(max_stop_time),
+                      [this, local_id = one.local_id]
+                      { finish(local_id, run_outcome::stopped); });
     }
     done({order_outcome::done, now_ms()});
 }
@@ -259,28 +266,28 @@
 {
     hold_result refused;
     refused.clock_ms = now_ms();
-    refused.outcome = is_wrong(request.context)
+    refused.outcome = is_wrong_incarnation(request.context)
                           ? order_outcome::wrong_incarnation
                           : order_outcome::fenced;
-    if (is_wrong(request.context) || is_fenced(request.context))
+    if (is_wrong_incarnation(request.context) || is_fenced(request.context))
         return done(refused);
     extend(request.context.deadline_ms);
-    if (request.confirmed > noted_)
+    if (request.confirmed > confirmed_)
     {
-        noted_ = request.confirmed;
-        checks_.noted(number_, noted_,
-                      [this](job_id job) { return job % 2 == 0; });
+        confirmed_ = request.confirmed;
+        checks_.confirmed(number_, confirmed_,
+                          [this](job_id job) { return job % 2 == 0; });
         std::erase_if(finished_, [this](const run_end& end)
-                      { return end.number <= noted_; });
+                      { return end.number <= confirmed_; });
     }
     if (!finished_.empty() || request.wait.count() == 0)
-        return done(lists());
-    const auto number = ++looks_;
-    waiting_.push_back({number, done});
-    node_.deliver(request.wait, [this, number] { answer_look(number); });
+        return done(run_lists());
+    const auto number = ++last_poll_number_;
+    pending_polls_.push_back({number, done});
+    node_.deliver(request.wait, [this, number] { answer_poll(number); });
 }
 
-hold_result simulated_server::lists() const
+hold_result simulated_server::run_lists() const
 {
     hold_result out;
     out.outcome = order_outcome::done;
@@ -296,22 +303,22 @@
     return out;
 }
 
-void simulated_server::answer_looks()
+void simulated_server::answer_polls()
 {
-    for (const auto& one : std::exchange(waiting_, {}))
-        one.done(lists());
+    for (const auto& one : std::exchange(pending_polls_, {}))
+        one.done(run_lists());
 }
 
-void simulated_server::answer_look(std::uint64_t number)
+void simulated_server::answer_poll(std::uint64_t number)
 {
-    const auto known = std::find_if(waiting_.begin(), waiting_.end(),
-                                    [number](const waiting_look& one)
-                                    { return one.number == number; });
-    if (known == waiting_.end())
+    const auto known = std::find_if(
+        pending_polls_.begin(), pending_polls_.end(),
+        [number](const pending_poll& one) { return one.number == number; });
+    if (known == pending_polls_.end())
         return;
     const auto done = known->done;
-    waiting_.erase(known);
-    done(lists());
+    pending_polls_.erase(known);
+    done(run_lists());
 }
 
 /// @param timeout After which its caller gives it up.
@@ -321,35 +328,39 @@
 template <class Result, class Call>
 void simulated_server_port::call(duration timeout,
                                  std::function<void(Result)> done, Call serve,
-                                 Result unreached)
+                                 Result unreachable_answer)
 {
-    const auto told = std::make_shared<bool>(false);
-    const auto once = [told, done = std::move(done)](const Result& got)
+    const auto completed = std::make_shared<bool>(false);
+    const auto once = [completed, done = std::move(done)](const Result& got)
     {
-        if (!std::exchange(*told, true))
+        if (!std::exchange(*completed, true))
             done(got);
     };
-    if (!server_.node().up())
-        return caller_.deliver(way, [once, unreached] { once(unreached); });
+    if (!server_.node().is_up())
+        return caller_.deliver(message_delay, [once, unreachable_answer]
+                               { once(unreachable_answer); });
     caller_.later(timeout, [once] { once({}); });
-    server_.await(told,
-                  [&caller = caller_, once, mine = caller_.process()]
-                  {
-                      if (caller.process() == mine)
-                          caller.deliver(way, [once] { once({}); });
-                  });
+    server_.track_call(completed,
+                       [&caller = caller_, once, mine = caller_.process()]
+                       {
+                           if (caller.process() == mine)
+                               caller.deliver(message_delay,
+                                              [once] { once({}); });
+                       });
     const auto& link = server_.link;
     const auto drawn = uniform(time_.random);
     if (drawn < link.lost)
         return;
     const bool late = drawn < link.lost + link.late;
-    const bool silent = late || drawn < link.lost + link.late + link.unanswered;
-    const auto slow = late ? time_.some(latest_call) : time_.some(2 * way);
+    const bool drop_answer =
+        late || drawn < link.lost + link.late + link.unanswered;
+    const auto slow = late ? time_.random_duration(max_late_delay)
+                           : time_.random_duration(2 * message_delay);
     // An answer finds the process that has asked, if it is there.
-    const auto answer = [this, once, silent](const Result& got)
+    const auto answer = [this, once, drop_answer](const Result& got)
     {
-        if (!silent)
-            caller_.deliver(way, [once, got] { once(got); });
+        if (!drop_answer)
+            caller_.deliver(message_delay, [once, got] { once(got); });
     };
     const auto guarded =
         [answer, &caller = caller_, mine = caller_.process()](const Result& got)
@@ -363,13 +374,13 @@
 /// A connection leads to the life that was there when it was made, and ends
 /// with it; its first call has told which that is.
 /// @return Whether an order is for another life and comes back unsent.
-bool simulated_server_port::turns_away(const order_context& context,
-                                       const order_handler& done)
+bool simulated_server_port::rejects_incarnation(const order_context& context,
+                                                const order_handler& done)
 {
-    const bool other = server_.node().up() && context.born_ms != 0 &&
+    const bool other = server_.node().is_up() && context.born_ms != 0 &&
                        context.born_ms != server_.born_ms();
     if (other)
-        caller_.deliver(way,
+        caller_.deliver(message_delay,
                         [done] {
                             done({order_outcome::wrong_incarnation, 0});
                         });
@@ -380,7 +391,7 @@
                                   const order_context& context,
                                   order_handler done)
 {
-    if (turns_away(context, done))
+    if (rejects_incarnation(context, done))
         return;
     call<order_result>(
         order_timeout, std::move(done),
@@ -393,7 +404,7 @@
                                  const order_context& context,
                                  order_handler done)
 {
-    if (turns_away(context, done))
+    if (rejects_incarnation(context, done))
         return;
     call<order_result>(
         order_timeout, std::move(done),
@@ -404,27 +415,27 @@
 
 void simulated_server_port::hold(const hold_request& request, hold_handler done)
 {
-    hold_result unreached;
-    unreached.outcome = order_outcome::unhealthy;
-    unreached.reached = false;
+    hold_result unreachable_answer;
+    unreachable_answer.outcome = order_outcome::unhealthy;
+    unreachable_answer.reached = false;
     // As the client of the platform has it: what holds for one connection goes
     // out on that one alone.
-    auto said = request;
-    if (request.link != server_.life())
+    auto sent_request = request;
+    if (request.link != server_.incarnation())
     {
-        said.confirmed = 0;
-        said.context.deadline_ms = 0;
+        sent_request.confirmed = 0;
+        sent_request.context.deadline_ms = 0;
     }
     call<hold_result>(
         request.wait + hold_grace,
-        [done = std::move(done), link = server_.life()](hold_result got)
+        [done = std::move(done), link = server_.incarnation()](hold_result got)
         {
             got.link = got.reached ? link : 0;
             done(got);
         },
-        [&server = server_, said](const auto& answer)
-        { server.hold(said, answer); },
-        unreached);
+        [&server = server_, sent_request](const auto& answer)
+        { server.hold(sent_request, answer); },
+        unreachable_answer);
 }
 
 } // namespace glenhollow
--- a/tests/schedule/simulated_world.cpp
+++ b/tests/schedule/simulated_world.cpp
@@ -17,7 +17,7 @@
 constexpr duration faults_until = seconds{4};
 constexpr duration pause_time = seconds{3};
 constexpr duration play_time = seconds{60};
-constexpr duration caller_patience = milliseconds{800};
+constexpr duration caller_retry_delay = milliseconds{800};
 constexpr int caller_attempts = 12;
 
 bool has(const std::string& text, const std::string& part)
@@ -47,7 +47,7 @@
     void finish(handler done, verdict what, reason why, std::string body)
     {
         world_.at(
-            world_.some(work_time),
+            world_.random_duration(work_time),
             [this, done = std::move(done), what, why, body = std::move(body)]
             {
                 if (!dead)
@@ -62,7 +62,7 @@
 /// An agent with a clock of its own.
 struct simulated_world::sim_agent
 {
-    std::size_t place = 0;                                ///< Which.
+    std::size_t number = 0;                               ///< Which.
     std::uint64_t incarnation = 1;                        ///< Of this start.
     manual_clock clock;                                   ///< Its own.
     std::unique_ptr<sim_runner> runner;                   ///< Of this start.
@@ -80,13 +80,13 @@
     const auto id = submission_id::parse(
         std::string_view(call.task).substr(0, call.task.find('/')));
     if (agent_.fenced.contains(id->incarnation))
-        world_.outcome_.broken.push_back(call.task +
-                                         " started by a fenced entry");
+        world_.outcome_.violations.push_back(call.task +
+                                             " started by a fenced entry");
     if (world_.chance(world_.settings_.refuse_share))
         return finish(std::move(done), verdict::not_run, reason::runner_refused,
                       "");
     // A connection that breaks may have carried the task or not.
-    const bool breaks = world_.chance(world_.settings_.broken_share);
+    const bool breaks = world_.chance(world_.settings_.runner_break_share);
     if (!breaks || world_.chance(0.5))
         ++world_.starts_[call.task];
     finish(std::move(done), breaks ? verdict::may_have_run : verdict::ran,
@@ -134,7 +134,7 @@
     std::unique_ptr<sim_sender> sender; ///< Its links.
     std::unique_ptr<coordinator> jobs;  ///< Its decisions.
     std::vector<sim_link*> links;       ///< By runner index.
-    bool pumping = false;               ///< A tick is on its way.
+    bool wake_scheduled = false;        ///< A tick is on its way.
 };
 
 /// One caller's job.
@@ -156,7 +156,7 @@
     for (std::size_t i = 0; i < settings_.agents; ++i)
     {
         agents_.push_back(std::make_unique<sim_agent>());
-        agents_.back()->place = i;
+        agents_.back()->number = i;
         // No two clocks agree.
         agents_.back()->clock.advance(seconds{100 * (i + 1)});
         restart_agent(*agents_.back());
@@ -172,7 +172,7 @@
     events_.emplace(clock_.now() + from_now, std::move(work));
 }
 
-duration simulated_world::some(duration most)
+duration simulated_world::random_duration(duration most)
 {
     return std::chrono::duration_cast<duration>(most * uniform(random_));
 }
@@ -182,15 +182,15 @@
     return uniform(random_) < share;
 }
 
-void simulated_world::add_entry(std::size_t place)
+void simulated_world::add_entry(std::size_t number)
 {
     auto made = std::make_unique<sim_entry>();
     auto& entry = *made;
-    entry.incarnation = 1000 + place;
+    entry.incarnation = 1000 + number;
     entry.sender = std::make_unique<sim_sender>(*this, entry);
     coordinator_settings limits;
     limits.hall = "h";
-    limits.entry = "e" + std::to_string(place);
+    limits.entry = "e" + std::to_string(number);
     limits.ack_delay = milliseconds{700};
     limits.id_lifetime = seconds{20};
     limits.start_window = milliseconds{400};
@@ -240,37 +240,38 @@
 }
 
 /// Runs work of an entry once it is not paused, never when it is dead.
-void simulated_world::act(sim_entry& entry, const std::function<void()>& work)
+void simulated_world::run_on(sim_entry& entry,
+                             const std::function<void()>& work)
 {
     if (entry.dead)
         return;
     if (entry.paused_until > clock_.now())
     {
         events_.emplace(entry.paused_until,
-                        [this, &entry, work] { act(entry, work); });
+                        [this, &entry, work] { run_on(entry, work); });
         return;
     }
     work();
     entry.jobs->dispatch();
-    pump(entry);
+    schedule_wake(entry);
 }
 
-void simulated_world::pump(sim_entry& entry)
+void simulated_world::schedule_wake(sim_entry& entry)
 {
     const auto next = entry.jobs->next_wake();
-    if (entry.pumping || !next)
+    if (entry.wake_scheduled || !next)
         return;
-    entry.pumping = true;
+    entry.wake_scheduled = true;
     const auto wait = std::max<duration>(*next - clock_.now(), milliseconds{1});
     at(wait,
        [this, &entry]
        {
-           act(entry,
-               [&entry]
-               {
-                   entry.pumping = false;
-                   entry.jobs->tick();
-               });
+           run_on(entry,
+                  [&entry]
+                  {
+                      entry.wake_scheduled = false;
+                      entry.jobs->tick();
+                  });
        });
 }
 
@@ -288,16 +289,17 @@
 void simulated_world::connect(sim_link& link)
 {
     const auto generation = ++link.generation;
-    at(message_time + some(reconnect_time),
+    at(message_time + random_duration(reconnect_time),
        [this, &link, generation]
        {
-           act(*link.entry,
+           run_on(
+               *link.entry,
                [this, &link, generation]
                {
                    const bool paused = link.agent->paused_until > clock_.now();
                    if (link.generation != generation)
                        return;
-                   if (paused || chance(settings_.break_share))
+                   if (paused || chance(settings_.link_break_share))
                        return connect(link);
                    auto& agent = *link.agent;
                    agent.sessions[link.entry->incarnation] = generation;
@@ -305,12 +307,12 @@
                    link.up = true;
                    if (link.incarnation != 0 &&
                        link.incarnation != agent.incarnation)
-                       give_up(link, reason::agent_restarted);
+                       fail_outstanding(link, reason::agent_restarted);
                    link.incarnation = agent.incarnation;
                    link.entry->jobs->link_up(link.index, true, load_of(link));
                    for (const auto& [key, start] : link.outstanding)
                    {
-                       ++outcome_.repeats;
+                       ++outcome_.resent_starts;
                        deliver(link, generation, start);
                    }
                });
@@ -328,16 +330,16 @@
     at(resend_window,
        [this, &link, since]
        {
-           act(*link.entry,
-               [this, &link, since]
-               {
-                   if (!link.up && link.broken_since == since)
-                       give_up(link, reason::link_broken);
-               });
+           run_on(*link.entry,
+                  [this, &link, since]
+                  {
+                      if (!link.up && link.broken_since == since)
+                          fail_outstanding(link, reason::link_broken);
+                  });
        });
 }
 
-void simulated_world::give_up(sim_link& link, reason why)
+void simulated_world::fail_outstanding(sim_link& link, reason why)
 {
     const auto lost = std::exchange(link.outstanding, {});
     for (const auto& [key, start] : lost)
@@ -377,10 +379,10 @@
 void simulated_world::deliver(sim_link& link, std::uint64_t generation,
                               const outgoing_start& start)
 {
-    if (chance(settings_.break_share))
+    if (chance(settings_.link_break_share))
     {
         const bool arrives = chance(0.5);
-        at(some(message_time), [this, &link] { break_link(link); });
+        at(random_duration(message_time), [this, &link] { break_link(link); });
         if (!arrives)
             return;
     }
@@ -432,12 +434,12 @@
                    arrive();
            });
     };
-    later(some(message_time));
+    later(random_duration(message_time));
     // What sits in the buffer of a connection that was replaced comes late; a
     // connection that lives delivers each start once.
-    if (!chance(settings_.break_share))
+    if (!chance(settings_.link_break_share))
         return;
-    at(some(seconds{2}),
+    at(random_duration(seconds{2}),
        [this, &link, &agent, generation, arrive]
        {
            const bool replaced =
@@ -450,19 +452,19 @@
 void simulated_world::answer(sim_link& link, std::uint64_t generation,
                              task_end end)
 {
-    at(some(message_time),
+    at(random_duration(message_time),
        [this, &link, generation, end = std::move(end)]
        {
-           act(*link.entry,
-               [this, &link, generation, end]
-               {
-                   // An answer over an old connection never arrives.
-                   if (link.generation != generation || !link.up ||
-                       link.outstanding.erase(end.key) == 0)
-                       return;
-                   link.entry->jobs->task_ended(link.index, end);
-                   link.entry->jobs->report_load(link.index, load_of(link));
-               });
+           run_on(*link.entry,
+                  [this, &link, generation, end]
+                  {
+                      // An answer over an old connection never arrives.
+                      if (link.generation != generation || !link.up ||
+                          link.outstanding.erase(end.key) == 0)
+                          return;
+                      link.entry->jobs->task_ended(link.index, end);
+                      link.entry->jobs->report_load(link.index, load_of(link));
+                  });
        });
 }
 
@@ -472,7 +474,7 @@
     {
         const bool kill_entry = chance(0.5);
         const auto victim = random_();
-        at(some(faults_until),
+        at(random_duration(faults_until),
            [this, kill_entry, victim]
            {
                if (kill_entry)
@@ -485,10 +487,10 @@
     {
         const bool pause_entry = chance(0.5);
         const auto victim = random_();
-        at(some(faults_until),
+        at(random_duration(faults_until),
            [this, pause_entry, victim]
            {
-               const auto until = clock_.now() + some(pause_time);
+               const auto until = clock_.now() + random_duration(pause_time);
                if (pause_entry)
                    entries_[victim % settings_.entries]->paused_until = until;
                else
@@ -497,19 +499,19 @@
     }
 }
 
-void simulated_world::ask_owner(sim_job& job, sim_entry& owner)
+void simulated_world::submit_to_owner(sim_job& job, sim_entry& owner)
 {
-    act(owner,
-        [this, &job, &owner]
-        {
-            owner.jobs->submit(job.sequence, job.request, std::nullopt,
-                               [this, &job, &owner](const job_answer& got)
-                               {
-                                   // A dead entry's answer reaches nobody.
-                                   if (!owner.dead)
-                                       note_answer(job, got);
-                               });
-        });
+    run_on(owner,
+           [this, &job, &owner]
+           {
+               owner.jobs->submit(job.sequence, job.request, std::nullopt,
+                                  [this, &job, &owner](const job_answer& got)
+                                  {
+                                      // A dead entry's answer reaches nobody.
+                                      if (!owner.dead)
+                                          record_answer(job, got);
+                                  });
+           });
 }
 
 void simulated_world::submit(sim_job& job, std::size_t entry)
@@ -519,17 +521,17 @@
     const bool asks_owner = entry == job.entry;
     if (asks_owner && !owner.dead)
     {
-        ask_owner(job, owner);
+        submit_to_owner(job, owner);
     }
     else if (!asks_owner)
     {
-        ask_elsewhere(job, entry);
+        submit_elsewhere(job, entry);
     }
     if (job.attempts >= caller_attempts)
         return;
     // A caller without an answer asks again, often somewhere else.
     const auto next = chance(0.4) ? job.entry : random_() % settings_.entries;
-    at(caller_patience + some(caller_patience),
+    at(caller_retry_delay + random_duration(caller_retry_delay),
        [this, &job, next]
        {
            if (!job.answered || chance(0.2))
@@ -537,7 +539,7 @@
        });
 }
 
-void simulated_world::ask_elsewhere(sim_job& job, std::size_t entry)
+void simulated_world::submit_elsewhere(sim_job& job, std::size_t entry)
 {
     if (entries_[entry]->dead || entries_[entry]->paused_until > clock_.now())
         return;
@@ -545,11 +547,11 @@
     const bool reachable = !owner.dead && owner.paused_until <= clock_.now();
     const auto adopted = adopted_.find(owner.incarnation);
     if (adopted != adopted_.end())
-        return note_answer(
+        return record_answer(
             job, adopted->second->answer(job.sequence, job.request.body_hash));
     if (reachable)
     {
-        ask_owner(job, owner);
+        submit_to_owner(job, owner);
         return;
     }
     adopt(job, owner);
@@ -561,8 +563,8 @@
     for (const auto& agent : agents_)
     {
         const auto heard = agent->heard.find(dead.incarnation);
-        const bool lately = heard != agent->heard.end() &&
-                            clock_.now() - heard->second < heard_within;
+        const bool heard_recently = heard != agent->heard.end() &&
+                                    clock_.now() - heard->second < heard_within;
         const bool paused = agent->paused_until > clock_.now();
         // Tasks that still run are waited for; the caller asks again.
         bool runs = false;
@@ -570,7 +572,7 @@
         for (const auto& key : table.keys_of(dead.incarnation))
             runs |= table.find(dead.incarnation, key)->at !=
                     start_record::stage::done;
-        if (!paused && (lately || runs))
+        if (!paused && (heard_recently || runs))
             return;
     }
     auto answers = std::make_unique<adopted_answers>(
@@ -594,11 +596,11 @@
     ++outcome_.adoptions;
     const auto [known, fresh] =
         adopted_.emplace(dead.incarnation, std::move(answers));
-    note_answer(job,
-                known->second->answer(job.sequence, job.request.body_hash));
+    record_answer(job,
+                  known->second->answer(job.sequence, job.request.body_hash));
 }
 
-void simulated_world::note_answer(sim_job& job, const job_answer& answer)
+void simulated_world::record_answer(sim_job& job, const job_answer& answer)
 {
     if (answer.is_problem())
     {
@@ -613,7 +615,7 @@
 {
     for (std::size_t i = 0; i < settings_.jobs; ++i)
     {
-        at(some(faults_until),
+        at(random_duration(faults_until),
            [this]
            {
                auto made = std::make_unique<sim_job>();
@@ -655,12 +657,13 @@
 
 void simulated_world::check()
 {
-    const auto broke = [this](const std::string& what)
-    { outcome_.broken.push_back(what); };
+    const auto report_violation = [this](const std::string& what)
+    { outcome_.violations.push_back(what); };
     for (const auto& [task, count] : starts_)
     {
         if (count > 1)
-            broke(task + " started " + std::to_string(count) + " times");
+            report_violation(task + " started " + std::to_string(count) +
+                             " times");
     }
     for (const auto& job : jobs_)
     {
@@ -677,20 +680,20 @@
         for (const auto& answer : job->answers)
         {
             if (has(answer, R"("state":"complete")") && answer != whole)
-                broke("partial or crossed answer: " + answer);
+                report_violation("partial or crossed answer: " + answer);
             if (has(answer, R"("verdict":"not_run")") && started > 0)
-                broke("said not_run but ran: " + answer);
+                report_violation("said not_run but ran: " + answer);
             complete |= answer == whole;
         }
         if (complete && started != job->request.payloads.size())
-            broke(job->id + " is complete without all its starts");
+            report_violation(job->id + " is complete without all its starts");
         outcome_.complete += complete ? 1 : 0;
         outcome_.failed += !complete && !job->answers.empty() ? 1 : 0;
         outcome_.refused += job->answers.empty() && job->refused ? 1 : 0;
         // A job whose refusals are all it got must not have run.
         if (job->answers.empty() && job->refused && started > 0 &&
             !entries_[job->entry]->dead)
-            broke(job->id + " was only refused but ran");
+            report_violation(job->id + " was only refused but ran");
     }
 }
 
--- a/tests/schedule/simulated_world.hpp
+++ b/tests/schedule/simulated_world.hpp
@@ -20,26 +20,26 @@
 /// How rough a schedule is; all drawn from its seed.
 struct schedule_settings
 {
-    std::uint64_t seed = 1;     ///< Of everything.
-    std::size_t entries = 3;    ///< How many.
-    std::size_t agents = 4;     ///< How many.
-    std::size_t jobs = 12;      ///< How many callers have.
-    double break_share = 0.05;  ///< Messages that break their link.
-    double refuse_share = 0.05; ///< Tasks that runners refuse.
-    double broken_share = 0.03; ///< Tasks whose runner connection breaks.
-    std::size_t deaths = 2;     ///< Entries and agents killed.
-    std::size_t pauses = 2;     ///< Entries and agents paused for a while.
+    std::uint64_t seed = 1;           ///< Of everything.
+    std::size_t entries = 3;          ///< How many.
+    std::size_t agents = 4;           ///< How many.
+    std::size_t jobs = 12;            ///< How many callers have.
+    double link_break_share = 0.05;   ///< Messages that break their link.
+    double refuse_share = 0.05;       ///< Tasks that runners refuse.
+    double runner_break_share = 0.03; ///< Tasks whose runner connection breaks.
+    std::size_t deaths = 2;           ///< Entries and agents killed.
+    std::size_t pauses = 2; ///< Entries and agents paused for a while.
 };
 
 /// What a schedule came to.
 struct schedule_outcome
 {
-    std::vector<std::string> broken; ///< Promises that broke, in words.
-    std::size_t complete = 0;        ///< Jobs answered whole.
-    std::size_t failed = 0;          ///< Jobs marked failed.
-    std::size_t refused = 0;         ///< Jobs only refused.
-    std::size_t adoptions = 0;       ///< Incarnations adopted.
-    std::size_t repeats = 0;         ///< Starts sent again after a break.
+    std::vector<std::string> violations; ///< Promises that broke, in words.
+    std::size_t complete = 0;            ///< Jobs answered whole.
+    std::size_t failed = 0;              ///< Jobs marked failed.
+    std::size_t refused = 0;             ///< Jobs only refused.
+    std::size_t adoptions = 0;           ///< Incarnations adopted.
+    std::size_t resent_starts = 0;       ///< Starts sent again after a break.
 };
 
 /// Drives real coordinators, executors and adopted answers over fake links,
@@ -65,27 +65,27 @@
     struct sim_job;
 
     void at(duration from_now, std::function<void()> work);
-    duration some(duration most);
+    duration random_duration(duration most);
     bool chance(double share);
 
-    void add_entry(std::size_t place);
+    void add_entry(std::size_t number);
     void restart_agent(sim_agent& agent);
     void connect(sim_link& link);
     void break_link(sim_link& link);
     void deliver(sim_link& link, std::uint64_t generation,
                  const outgoing_start& start);
     void answer(sim_link& link, std::uint64_t generation, task_end end);
-    void give_up(sim_link& link, reason why);
-    void act(sim_entry& entry, const std::function<void()>& work);
-    void pump(sim_entry& entry);
+    void fail_outstanding(sim_link& link, reason why);
+    void run_on(sim_entry& entry, const std::function<void()>& work);
+    void schedule_wake(sim_entry& entry);
     load_report load_of(const sim_link& link) const;
 
     void plan_faults();
     void submit(sim_job& job, std::size_t entry);
-    void ask_owner(sim_job& job, sim_entry& owner);
-    void ask_elsewhere(sim_job& job, std::size_t entry);
+    void submit_to_owner(sim_job& job, sim_entry& owner);
+    void submit_elsewhere(sim_job& job, std::size_t entry);
     void adopt(sim_job& job, sim_entry& dead);
-    void note_answer(sim_job& job, const job_answer& answer);
+    void record_answer(sim_job& job, const job_answer& answer);
     void check();
 
     schedule_settings settings_;                           ///< How rough it is.
--- a/tests/schedule/story_log.cpp
+++ b/tests/schedule/trace_log.cpp
@@ -1,4 +1,4 @@
-#include "story_log.hpp"
+#include "trace_log.hpp"
 
 #include "glenhollow/telemetry/log.hpp"
 
@@ -18,20 +18,20 @@
 namespace
 {
 
-class story_backend final
+class trace_backend final
     : public logging::sinks::basic_formatted_sink_backend<char>
 {
 public:
-    explicit story_backend(simulated_time& time) : time_(time) {}
+    explicit trace_backend(simulated_time& time) : time_(time) {}
 
     void consume(const logging::record_view&, const std::string& line)
     {
         // The time of day, the level and the program say nothing here.
         const auto event = line.find("event=");
-        time_.note(
+        time_.trace(
             [&]
             {
-                const auto* by = time_.acting;
+                const auto* by = time_.active_process;
                 return (by ? *by : std::string("world")) + " logs " +
                        line.substr(event == std::string::npos ? 0 : event);
             });
@@ -41,19 +41,19 @@
     simulated_time& time_; ///< Of the simulation.
 };
 
-using story_front = logging::sinks::synchronous_sink<story_backend>;
+using trace_sink = logging::sinks::synchronous_sink<trace_backend>;
 
 } // namespace
 
-struct story_log::sink
+struct trace_log::sink
 {
-    boost::shared_ptr<story_front> front; ///< As the library knows it.
+    boost::shared_ptr<trace_sink> front; ///< As the library knows it.
 };
 
-story_log::story_log(simulated_time& time) : sink_(std::make_unique<sink>())
+trace_log::trace_log(simulated_time& time) : sink_(std::make_unique<sink>())
 {
-    sink_->front = boost::make_shared<story_front>(
-        boost::make_shared<story_backend>(time));
+    sink_->front =
+        boost::make_shared<trace_sink>(boost::make_shared<trace_backend>(time));
     sink_->front->set_formatter(logging::expressions::stream
                                 << logging::expressions::smessage);
     // A line left out by real time would make two plays of a seed differ.
@@ -63,7 +63,7 @@
     logging::core::get()->set_logging_enabled(true);
 }
 
-story_log::~story_log()
+trace_log::~trace_log()
 {
     logging::core::get()->set_logging_enabled(false);
     logging::core::get()->remove_sink(sink_->front);
--- a/tests/schedule/story_log.hpp
+++ b/tests/schedule/trace_log.hpp
@@ -1,5 +1,5 @@
-#ifndef GLENHOLLOW_TESTS_STORY_LOG_HPP
-#define GLENHOLLOW_TESTS_STORY_LOG_HPP
+#ifndef GLENHOLLOW_TESTS_TRACE_LOG_HPP
+#define GLENHOLLOW_TESTS_TRACE_LOG_HPP
 
 #include "simulated_node.hpp"
 
@@ -10,12 +10,12 @@
 
 /// Writes what the parts of the product log into the order of events of a
 /// simulation, each line with the process that it is of. One at a time.
-class story_log final
+class trace_log final
 {
 public:
     /// @param time Outlives it.
-    explicit story_log(simulated_time& time);
-    ~story_log();
+    explicit trace_log(simulated_time& time);
+    ~trace_log();
 
 private:
     struct sink;
