--- a/tests/schedule/durable_scenario_tests.cpp
+++ b/tests/schedule/durable_scenario_tests.cpp
@@ -1,7 +1,5 @@
-// Orders of events that broke a promise, each told by itself: which fault
-// strikes at which moment is written down, so that nothing that a seed draws
-// can move it. Seeds choose delays of some hundred microseconds, rates of
-// clocks and what a process that wakes takes first.
+// Scenarios with faults at fixed times. Seeds vary only message delays, clock
+// rates and the order of deferred work after a pause.
 #include <catch2/catch.hpp>
 
 #include "durable_world.hpp"
@@ -15,12 +13,13 @@
 
 constexpr std::uint64_t seeds = 40;
 
-/// What the seeds of a scenario came to.
+/// Totals over all seeds of a scenario.
 struct scenario_outcome
 {
-    std::size_t violations = 0; ///< Seeds that broke a promise.
-    std::map<std::string, std::uint64_t> situations; ///< Seeds that met each.
-    std::uint64_t starts = 0;                        ///< At all servers.
+    std::size_t violations = 0; ///< Number of seeds with violations.
+    /// Number of seeds, by situation.
+    std::map<std::string, std::uint64_t> situations;
+    std::uint64_t starts = 0; ///< Runs started at all servers.
 };
 
 scenario_outcome play(durable_schedule_settings scenario)
@@ -47,7 +46,8 @@
     return out;
 }
 
-/// The only server in reach when the job comes is that of agent 1.
+/// @return A scenario in which only the server of agent 1 is up when the job
+/// arrives.
 durable_schedule_settings at_agent_1()
 {
     durable_schedule_settings out;
@@ -61,19 +61,9 @@
 
 } // namespace
 
-// A task of a job in memory ran at two servers at once, for up to a second. Its
-// server ended and ran again under its id within some ms, too soon for a
-// refused connection: the next look of its agent reached the new life and
-// asked it to hold its runs until a moment of the last life's clock. The task
-// began again there, the agent stood still, the caller lost its connection, and
-// its next attempt began elsewhere when all that an agent asks for must have
-// ended. The platform cuts a hold to its own longest one alone, and
-// that is twice the longest that agents ask for.
-//
-// Evidence: the order of events of seeds 34904 and 39946 of jobs in memory:
-// `server 0 is held for 2000 ms`, 0.8 ms after its return and 0.4 ms before its
-// agent's `runner_born_again`; no other look asked for more than 1,000 ms.
-TEST_CASE("a look does not hold a server by its last life's clock",
+// Guards against a poll that reaches a restarted server with a deadline of the
+// previous incarnation and so holds its runs for too long.
+TEST_CASE("a poll does not hold a server by its last incarnation's clock",
           "[last_clock]")
 {
     auto scenario = at_agent_1();
@@ -85,25 +75,14 @@
          {milliseconds{1900}, "caller_reset", 0, 1, {}}});
     const auto got = play(scenario);
     CHECK(got.violations == 0);
-    // The agent stands still after a return that it can have missed, with the
-    // task there: it began at both lives, and once more elsewhere.
+    // The task starts at both incarnations of the server and at another server.
     REQUIRE(got.situations.at("still_after_quick_return") == seeds);
     REQUIRE(got.starts >= 3 * seeds);
 }
 
-// A kept task ran at two servers at once. An order waited unread at an agent
-// that stood still; its server ended and ran again under its id meanwhile. The
-// agent woke and sent the start with a deadline of the last life's clock: the
-// new life began the run and held it for longer than agents ask for. The agent
-// stood still again, and counted the run as lapsed when the longest hold that
-// it could have asked for was over; its owner had the task begin elsewhere.
-//
-// Evidence: the order of events of seeds 18006 and 33195 of kept jobs: `server
-// 1 is held for 1686 ms` (2000 ms) in the moment of the start, one millisecond
-// before `runner_born_again`; the agent tells the run's end 1.6 s later while
-// the hold goes on. The run is not told as ended by an end of the last life,
-// as was thought: no list of that life was read.
-TEST_CASE("a start does not hold a server by its last life's clock",
+// Guards against a start, delayed by a pause of the agent, that holds a
+// restarted server by a deadline of the previous incarnation.
+TEST_CASE("a start does not hold a server by its last incarnation's clock",
           "[last_clock]")
 {
     auto scenario = at_agent_1();
@@ -121,16 +100,10 @@
     REQUIRE(got.starts >= seeds);
 }
 
-// Kept tasks ran at servers of both sides of a cut, for as long as it lasted.
-// An owner of a part was cut off from the store and from all other entries,
-// together with an agent. It went on renewing its leases there, as nothing told
-// it that another entry had taken the part; that one waited for the agent it
-// couldn't reach, gave it up, and had its tasks begin elsewhere.
-//
-// Evidence: the order of events of seeds 326, 396 and 666 of kept jobs with cut
-// halls: `entry 1 owns the part, epoch 2` and 3.4 s later its orders, while the
-// cut off server is held for another 1,000 ms every 0.1 s.
-TEST_CASE("an owner that nobody bears out lets its leases end", "[hall_cut]")
+// Guards against a part owner that, isolated with one agent, renews its leases
+// there while the new owner starts the same tasks elsewhere.
+TEST_CASE("an owner without confirmation of its claim lets its leases expire",
+          "[hall_cut]")
 {
     durable_schedule_settings scenario;
     scenario.journalled = true;
@@ -150,10 +123,11 @@
     }
 }
 
-// The two mends above on machines that are suspended for seconds: whose steady
-// clocks, timers and holds stand still, while all others go on.
-TEST_CASE("a suspended owner renews nothing that others have taken",
-          "[suspended]")
+// Guards against lease renewal by an owner whose machine was suspended, so that
+// its steady clock and timers stopped.
+TEST_CASE(
+    "a suspended owner does not renew leases of a part that others claimed",
+    "[suspended]")
 {
     durable_schedule_settings scenario;
     scenario.journalled = true;
@@ -172,9 +146,8 @@
     }
 }
 
-// The agent stood still past the suspension. It took the hold for over, for it
-// counted the suspended time, and told the runs as lapsed while the server went
-// on with them for as long.
+// Guards against an agent that counts suspended time and reports runs as lapsed
+// while the server continues them.
 TEST_CASE("a server that was suspended is held by its own clock", "[suspended]")
 {
     durable_schedule_settings scenario;
@@ -199,9 +172,10 @@
     }
 }
 
-TEST_CASE("a server that returns while its machine is suspended is held by no "
-          "clock of before",
-          "[suspended]")
+TEST_CASE(
+    "a server that restarts before its machine is suspended is not held by "
+    "its last incarnation's clock",
+    "[suspended]")
 {
     for (const auto length : {300, 900, 1500})
     {
--- a/tests/schedule/durable_world.cpp
+++ b/tests/schedule/durable_world.cpp
@@ -10,19 +10,18 @@
 namespace
 {
 
-/// A caller waits so long after a lost connection, a 504 or no answer.
+/// Delay before a caller repeats an unanswered submission.
 constexpr duration caller_retry_delay = milliseconds{1300};
-/// A request takes so long at most; what its caller does next comes later.
+/// Longest duration of a request; later actions of its caller arrive after it.
 constexpr duration post_request_delay = milliseconds{3};
-/// It comes so often at most.
 constexpr std::size_t max_caller_attempts = 3;
-/// The times that safety rests on, and sums of them: faults strike around them.
+/// Timeouts of the protocol and their sums; faults are injected around them.
 constexpr std::array critical_intervals{
     milliseconds{0},    milliseconds{350},  milliseconds{600},
     milliseconds{800},  milliseconds{1000}, milliseconds{1200},
     milliseconds{1300}, milliseconds{1800}, milliseconds{2000},
     milliseconds{2800}, milliseconds{3400}};
-/// Something is away, still or shut so long.
+/// Base durations of faults.
 constexpr std::array fault_lengths{
     milliseconds{60},   milliseconds{200},  milliseconds{450},
     milliseconds{700},  milliseconds{950},  milliseconds{1250},
@@ -34,10 +33,10 @@
     "link_shut",     "answers_shut",  "orders_shut",  "link_slow",
     "link_reset",    "server_silent", "server_ends",  "caller_reset",
     "caller_leaves", "store_shut",    "entries_cut",  "hall_cut"};
-/// A server that is back under its id so soon may be missed by its agent.
+/// Longest restart of a server that its agent may fail to notice.
 constexpr duration quick_restart = milliseconds{20};
-/// An agent that stands still so soon after a server's return has hardly seen
-/// the next life.
+/// Time after a server restart in which its agent may not know the new
+/// incarnation yet.
 constexpr duration recent_restart = milliseconds{400};
 const std::vector<std::string> journalled_only_faults{
     "store_shut", "entries_cut", "hall_cut"};
@@ -69,7 +68,7 @@
     {
         agent_site site;
         const auto rate = time_.pick(clock_rates);
-        // Its clock may be 2% slow against that beside it.
+        // The server clock may run 2% slower than that of the agent.
         const auto slow = time_.chance(0.5) ? 0.98 : 1.0;
         site.server = std::make_unique<simulated_server>(
             time_, checks_, i, rate * slow, time_.chance(0.5));
@@ -198,7 +197,7 @@
     if (got.outcome == job_outcome::refused)
     {
         one.end = attempt_end::refused;
-        if (settings_.journalled) // By an entry that does not own its part.
+        if (settings_.journalled) // The entry does not own the part.
             schedule_resubmission(caller_index);
         return;
     }
@@ -208,7 +207,7 @@
     by.has_answer = true;
 }
 
-/// It has no answer and comes again, unless it has left.
+/// Fails an attempt; the caller resubmits unless it has withdrawn.
 void durable_world::fail_attempt(std::size_t caller_index,
                                  std::size_t attempt_index)
 {
@@ -234,7 +233,7 @@
                 });
 }
 
-/// @param told Whether callers hear at once that their connections are gone.
+/// @param notify_peers Whether callers notice the broken connections at once.
 void durable_world::fail_attempts_at(std::size_t entry, bool notify_peers)
 {
     for (std::size_t caller_index = 0; caller_index < callers_.size();
@@ -330,8 +329,8 @@
     }
 }
 
-/// The first fault strikes an entry, a caller or an agent of the first job;
-/// the others around a margin after it.
+/// Schedules the first fault near the first job and the others around a
+/// critical interval after it.
 void durable_world::plan_faults(instant first)
 {
     const auto count = 1 + time_.random() % 6;
@@ -370,7 +369,7 @@
     apply_fault(planned_fault{{}, kind, entry, agent, length});
 }
 
-/// The server of an agent ends and begins again.
+/// Starts the server of an agent again.
 void durable_world::restart_server(std::size_t agent, duration downtime,
                                    bool same_id)
 {
@@ -432,7 +431,7 @@
         pause(agent, length);
     else if (kind == "agent_stills")
     {
-        // Again and again, with some ms between.
+        // Repeated pauses, some milliseconds apart.
         duration at{};
         for (int i = 0; i < 4; ++i)
         {
@@ -502,7 +501,7 @@
         entries_cut_until_ = until;
     else if (kind == "hall_cut")
     {
-        // An entry and an agent see each other and nothing else.
+        // Isolates one entry with one agent.
         if (entries_[entry].entry->node().is_up() &&
             entries_[entry].entry->ownership().jobs() != nullptr)
             ++outcome_.situations["owner_cut_off"];
@@ -543,8 +542,8 @@
     }
 }
 
-/// Nothing of it is drawn but delays of some hundred microseconds, rates of
-/// clocks and the choice among equal places.
+/// Schedules the fixed jobs and faults of a scenario. Only message delays,
+/// clock rates and the choice among equal servers remain random.
 void durable_world::plan_scenario()
 {
     callers_.reserve(settings_.jobs.size());
--- a/tests/schedule/durable_world.hpp
+++ b/tests/schedule/durable_world.hpp
@@ -13,87 +13,87 @@
 namespace glenhollow
 {
 
-/// A job of a scenario, which nothing draws.
+/// A job of a scenario.
 struct planned_job
 {
-    duration at{};                  ///< When its caller first asks.
-    std::size_t entry = 0;          ///< Whom.
-    std::uint32_t tasks = 1;        ///< Of its only step.
-    milliseconds work{};            ///< Of each task.
-    duration timeout = seconds{30}; ///< Of its caller.
+    duration at{};           ///< Time of the first submission.
+    std::size_t entry = 0;   ///< Entry that gets the first attempt.
+    std::uint32_t tasks = 1; ///< Tasks of its only step.
+    milliseconds work{};     ///< Run time of each task.
+    /// How long its caller waits for an answer.
+    duration timeout = seconds{30};
 };
 
 /// A fault of a scenario.
 struct planned_fault
 {
-    duration at{};         ///< When it strikes.
-    std::string kind;      ///< As in the list of kinds.
-    std::size_t entry = 0; ///< Whom, where it strikes an entry or a link.
-    std::size_t agent = 0; ///< The same for agents, links and servers.
-    duration length{};     ///< Of the fault.
+    duration at{};         ///< Time of the fault.
+    std::string kind;      ///< Name of the kind of fault.
+    std::size_t entry = 0; ///< Affected entry, for entries and links.
+    std::size_t agent = 0; ///< Affected agent, for agents, links and servers.
+    duration length{};     ///< Duration of the fault.
 };
 
-/// What a schedule is drawn from.
+/// Settings of one schedule.
 struct durable_schedule_settings
 {
-    std::uint64_t seed = 1;  ///< Of all that is drawn.
-    bool journalled = false; ///< Jobs are kept in the journal, else in memory.
-    bool tracing = false;    ///< The order of events is written down.
-    std::size_t entries = 2; ///< How many.
-    std::size_t agents = 3;  ///< How many, each with its server.
-    std::set<std::string>
-        excluded_faults;               ///< Kinds of faults that are left out.
-    std::vector<planned_job> jobs;     ///< A scenario's: in place of drawn jobs
-                                       ///< and faults.
-    std::vector<planned_fault> faults; ///< Of the scenario.
-    duration length{};                 ///< Of the scenario.
+    std::uint64_t seed = 1;  ///< Seed of the random engine.
+    bool journalled = false; ///< Whether jobs are journalled or in memory.
+    bool tracing = false;    ///< Whether the trace is recorded.
+    std::size_t entries = 2; ///< Number of entries.
+    std::size_t agents = 3;  ///< Number of agents, each with its server.
+    std::set<std::string> excluded_faults; ///< Kinds of faults not to inject.
+    /// Jobs of a scenario; replace random jobs and faults.
+    std::vector<planned_job> jobs;
+    std::vector<planned_fault> faults; ///< Faults of the scenario.
+    duration length{};                 ///< Duration of the scenario.
 };
 
-/// What a schedule came to.
+/// Result of one schedule.
 struct durable_outcome
 {
-    std::vector<std::string> violations; ///< What did not hold.
-    std::vector<std::string> lines;      ///< Its order of events.
-    std::uint64_t starts = 0;            ///< At servers.
-    std::uint64_t succeeded = 0;         ///< Jobs.
-    std::uint64_t refused = 0;           ///< Jobs, each time.
-    std::uint64_t resent = 0;            ///< Submissions after the first.
-    std::uint64_t lapses = 0;            ///< Holds that agents let go.
-    std::map<std::string, std::uint64_t> faults;     ///< By kind.
-    std::map<std::string, std::uint64_t> situations; ///< That came about, of
-                                                     ///< those that faults
-                                                     ///< were found in.
+    /// Descriptions of violated guarantees.
+    std::vector<std::string> violations;
+    std::vector<std::string> lines; ///< Trace of the schedule.
+    std::uint64_t starts = 0;       ///< Runs started at servers.
+    std::uint64_t succeeded = 0;    ///< Jobs that were answered.
+    std::uint64_t refused = 0;      ///< Jobs that were only refused.
+    std::uint64_t resent = 0;       ///< Repeated submissions.
+    std::uint64_t lapses = 0;       ///< Holds that agents let lapse.
+    std::map<std::string, std::uint64_t> faults; ///< Number of faults by kind.
+    /// Number of relevant situations that occurred, by name.
+    std::map<std::string, std::uint64_t> situations;
 };
 
-/// Real coordinators, dispatchers and run managers with backend servers that
-/// keep the platform's rules, in one process, through one seeded schedule of
-/// faults on clocks that differ.
+/// Plays one seeded schedule of faults against real coordinators, dispatchers
+/// and run managers, with simulated backend servers and unequal clocks.
 class durable_world final
 {
 public:
-    /// @param settings What it is drawn from.
+    /// @param settings Seed, size and faults of the schedule.
     explicit durable_world(const durable_schedule_settings& settings);
     ~durable_world();
 
     /// Plays the schedule to its end.
-    /// @return What it came to.
+    /// @return Its result.
     durable_outcome play();
 
 private:
     struct agent_site
     {
-        std::unique_ptr<simulated_server> server; ///< The backend server.
-        std::unique_ptr<simulated_agent> agent;   ///< Beside it.
-        std::vector<simulated_link> links;        ///< By entry.
-        instant server_ended{};     ///< Its last end under faults.
-        instant server_restarted{}; ///< Its last begin under the same id.
-        duration server_downtime{}; ///< Between the two.
+        std::unique_ptr<simulated_server> server; ///< Backend server.
+        std::unique_ptr<simulated_agent> agent;   ///< Agent beside the server.
+        std::vector<simulated_link> links;        ///< Network links, by entry.
+        instant server_ended{};     ///< Last end of the server by a fault.
+        instant server_restarted{}; ///< Last restart under the same id.
+        duration server_downtime{}; ///< Time between these two.
     };
 
     struct entry_site
     {
-        std::unique_ptr<simulated_store> store; ///< Its way to the store.
-        std::unique_ptr<simulated_entry> entry; ///< The entry.
+        /// Connection of the entry to the store.
+        std::unique_ptr<simulated_store> store;
+        std::unique_ptr<simulated_entry> entry;
     };
 
     /// How one submission ended for its caller.
@@ -108,18 +108,18 @@
 
     struct attempt
     {
-        std::size_t entry = 0;               ///< Where.
-        std::uint64_t process = 0;           ///< Of the entry.
-        attempt_end end = attempt_end::open; ///< For its caller.
+        std::size_t entry = 0;               ///< Number of the entry.
+        std::uint64_t process = 0;           ///< Process of the entry.
+        attempt_end end = attempt_end::open; ///< How it ended.
     };
 
     struct caller
     {
-        job_definition job;            ///< What it asks for.
-        duration timeout{};            ///< Of each attempt.
-        std::vector<attempt> attempts; ///< So far.
-        bool has_answer = false;       ///< It has its answer.
-        bool withdrawn = false;        ///< It wants none any more.
+        job_definition job;
+        duration timeout{};            ///< Timeout of each attempt.
+        std::vector<attempt> attempts; ///< Attempts so far.
+        bool has_answer = false;       ///< Whether the caller has its answer.
+        bool withdrawn = false; ///< Whether the caller has given the job up.
     };
 
     void build();
@@ -149,16 +149,17 @@
     std::size_t random_entry() { return time_.random() % settings_.entries; }
     std::size_t random_agent() { return time_.random() % settings_.agents; }
 
-    durable_schedule_settings settings_;  ///< What it is drawn from.
-    simulated_time time_;                 ///< Time and chance.
-    std::unique_ptr<trace_log> log_sink_; ///< While the order is written down.
-    run_checks checks_;                   ///< What must hold.
-    fake_row_store rows_;                 ///< The store of the journal.
-    std::vector<agent_site> agents_;      ///< By number.
-    std::vector<entry_site> entries_;     ///< By number.
-    std::vector<caller> callers_;         ///< By number.
-    instant entries_cut_until_{};         ///< Entries don't hear each other.
-    durable_outcome outcome_;             ///< So far.
+    durable_schedule_settings settings_;
+    simulated_time time_; ///< Clock, events and random engine.
+    /// Log lines of the trace; null without one.
+    std::unique_ptr<trace_log> log_sink_;
+    run_checks checks_;               ///< Checks of the runs at servers.
+    fake_row_store rows_;             ///< Store of the journal.
+    std::vector<agent_site> agents_;  ///< Agents by number.
+    std::vector<entry_site> entries_; ///< Entries by number.
+    std::vector<caller> callers_;     ///< Callers by number.
+    instant entries_cut_until_{}; ///< Entries exchange no views before then.
+    durable_outcome outcome_;     ///< Result so far.
 };
 
 } // namespace glenhollow
--- a/tests/schedule/run_checks.hpp
+++ b/tests/schedule/run_checks.hpp
@@ -13,15 +13,15 @@
 namespace glenhollow
 {
 
-/// What must hold, by what backend servers alone have seen.
+/// Checks that no task runs twice at once or again after a confirmed end, by
+/// what backend servers observe.
 class run_checks final
 {
 public:
-    /// @param time Outlives it.
+    /// @param time Must outlive the checks.
     explicit run_checks(simulated_time& time) : time_(time) {}
 
-    /// @param server Has begun a run.
-    /// @param run Which.
+    /// Records the start of a run.
     void began(std::size_t server, const run_ref& run)
     {
         auto& task = tasks_[key(run.task)];
@@ -44,10 +44,8 @@
         ++starts;
     }
 
-    /// @param server Where a run has ended.
-    /// @param run Which.
-    /// @param how It ended.
-    /// @param number Of the end there.
+    /// Records the end of a run.
+    /// @param number Number of the end at that server.
     void ended(std::size_t server, const run_ref& run, run_outcome how,
                std::uint64_t number)
     {
@@ -58,7 +56,7 @@
             task.done.push_back({server, number, time_.elapsed(), false});
     }
 
-    /// @param server Its life has ended.
+    /// Records the end of a server's incarnation.
     void incarnation_ended(std::size_t server)
     {
         for (auto& [name, task] : tasks_)
@@ -70,8 +68,8 @@
         }
     }
 
-    /// @param server The lease of all that it runs has lapsed: ends before
-    /// then that are not taken note of do not bind.
+    /// Records that the hold of a server has lapsed: earlier ends that are not
+    /// confirmed no longer forbid another run.
     void lapsed(std::size_t server)
     {
         for (auto& [name, task] : tasks_)
@@ -81,9 +79,9 @@
         }
     }
 
-    /// @param server Its ends up to a number are taken note of.
-    /// @param number That number.
-    /// @param in_memory Told of a task by its job.
+    /// Records that the ends of a server up to a number are confirmed.
+    /// @param number Highest confirmed number.
+    /// @param in_memory Returns whether a job is kept in memory only.
     template <class InMemory>
     void confirmed(std::size_t server, std::uint64_t number,
                    InMemory&& in_memory)
@@ -97,27 +95,27 @@
                     continue;
                 end.confirmed = true;
                 if (task.started > end.at && !in_memory(std::get<0>(name)))
-                    report_violation("TWICE after its end, told later: job " +
-                                     to_text(std::get<0>(name)));
+                    report_violation(
+                        "TWICE after its end, confirmed later: job " +
+                        to_text(std::get<0>(name)));
             }
         }
     }
 
-    /// @param server Holds more than it has room for.
+    /// Records that a server runs more than its capacity allows.
     void over_capacity(std::size_t server)
     {
         report_violation("LIMIT at server " + std::to_string(server));
     }
 
-    /// @param job Each of its submissions was refused.
+    /// Records a job of which every submission was refused.
     void refused(job_id job)
     {
         if (started_.contains(job))
             report_violation("REFUSED: " + to_text(job) + " was started");
     }
 
-    /// @param run A run.
-    /// @return It in a line of the order of events.
+    /// @return Name of the run in the trace.
     static std::string name(const run_ref& run)
     {
         return "job " + std::to_string(run.task.job) + " task " +
@@ -126,31 +124,32 @@
                                               : run.run);
     }
 
-    std::vector<std::string> violations; ///< What did not hold.
-    std::uint64_t starts = 0;            ///< At all servers.
+    /// Descriptions of violated guarantees.
+    std::vector<std::string> violations;
+    std::uint64_t starts = 0; ///< Runs started at all servers.
 
 private:
     using task_key = std::tuple<job_id, std::uint32_t, std::uint32_t>;
 
     struct active_run
     {
-        std::size_t server = 0; ///< Where.
-        std::uint32_t run = 0;  ///< Its number.
+        std::size_t server = 0; ///< Number of the server.
+        std::uint32_t run = 0;  ///< Number of the run.
     };
 
     struct done_end
     {
-        std::size_t server = 0;   ///< Where.
-        std::uint64_t number = 0; ///< Of the end there.
-        duration at{};            ///< When.
-        bool confirmed = false;   ///< `last_seen` has reached it.
+        std::size_t server = 0;   ///< Number of the server.
+        std::uint64_t number = 0; ///< Number of the end at that server.
+        duration at{};            ///< Time of the end.
+        bool confirmed = false;   ///< Whether the agent has confirmed it.
     };
 
     struct task_state
     {
-        std::vector<active_run> running; ///< Now.
-        std::vector<done_end> done;      ///< Ends that may bind.
-        duration started{};              ///< Last.
+        std::vector<active_run> running; ///< Current runs.
+        std::vector<done_end> done;      ///< Ends that may forbid another run.
+        duration started{};              ///< Time of the last start.
     };
 
     static task_key key(const task_ref& task)
@@ -160,13 +159,13 @@
 
     void report_violation(const std::string& what)
     {
-        time_.trace([&] { return "BROKEN " + what; });
+        time_.trace([&] { return "VIOLATION " + what; });
         violations.push_back(what);
     }
 
-    simulated_time& time_;                 ///< Of the simulation.
-    std::map<task_key, task_state> tasks_; ///< All.
-    std::set<job_id> started_;             ///< Jobs some of whose tasks began.
+    simulated_time& time_;
+    std::map<task_key, task_state> tasks_;
+    std::set<job_id> started_; ///< Jobs with at least one started task.
 };
 
 } // namespace glenhollow
--- a/tests/schedule/schedule_tests.cpp
+++ b/tests/schedule/schedule_tests.cpp
@@ -1,5 +1,5 @@
-// Plays thousands of seeded schedules and checks the promises after each.
-// GLENHOLLOW_SEED plays one seed, GLENHOLLOW_SCHEDULES changes their number.
+// Plays seeded fault schedules and checks the guarantees after each.
+// GLENHOLLOW_SEED plays one seed, GLENHOLLOW_SCHEDULES sets their number.
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
 
@@ -20,7 +20,7 @@
     return text ? std::strtoull(text, nullptr, 10) : fallback;
 }
 
-/// The roughness of a schedule follows from its seed as well.
+/// Derives the fault rates of a schedule from its seed.
 schedule_settings settings_of(std::uint64_t seed)
 {
     random_engine random(seed * 7919);
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("the promises hold in every schedule")
+TEST_CASE("the guarantees hold in every schedule")
 {
     const auto only = from_environment("GLENHOLLOW_SEED", 0);
     const auto first = only != 0 ? only : 1;
@@ -63,13 +63,13 @@
         if (outcome.violations.empty())
             continue;
         INFO("seed " << seed << ": " << outcome.violations.front());
-        FAIL("a promise broke");
+        FAIL("a guarantee was violated");
     }
     WARN("complete " << sum.complete << ", failed " << sum.failed
                      << ", refused " << sum.refused << ", adoptions "
                      << sum.adoptions << ", starts repeated "
                      << sum.resent_starts);
-    // The schedules must really have been rough.
+    // Ensures that the faults had an effect.
     if (only == 0)
     {
         REQUIRE(sum.complete > 0);
--- a/tests/schedule/simulated_agent.cpp
+++ b/tests/schedule/simulated_agent.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// As in programs/durable_agent.cpp.
+/// Interval used in programs/durable_agent.cpp.
 constexpr duration tick_interval = milliseconds{50};
 
 } // namespace
@@ -30,7 +30,7 @@
     urgent_report_scheduled_ = load_report_scheduled_ = false;
     time_.trace([&] { return node_.name() + " begins"; });
     port_ = std::make_unique<simulated_server_port>(time_, server_, node_);
-    // A token that rises with the time of day, as the program's does.
+    // The fencing token increases with time, as in the agent program.
     const auto token = static_cast<std::uint64_t>(
         1 + std::chrono::duration_cast<milliseconds>(time_.elapsed()).count());
     run_manager_settings limits;
@@ -39,7 +39,7 @@
                                              node_.delay(), token, limits);
     manager_->listen(this);
     manager_->begin();
-    if (time_.chance(0.7)) // By the row of the last process.
+    if (time_.chance(0.7)) // Restores the stored row of the last process.
         node_.later(milliseconds{2} + time_.random_duration(milliseconds{60}),
                     [this]
                     {
@@ -141,7 +141,7 @@
 {
     auto* by = find(number);
     if (by == nullptr)
-        return; // Another session has replaced it: it is told nothing.
+        return; // Another session has replaced it.
     const lease_id lease = part.part == memory_part ? by->memory : part.part;
     const auto known = manager_->adopt(lease, part.epoch);
     time_.trace(
@@ -150,7 +150,7 @@
             return node_.name() + " tells entry " + std::to_string(by->entry) +
                    " of " + std::to_string(known.runs.size()) + " runs, " +
                    std::to_string(known.ends.size()) + " ends" +
-                   (manager_->is_polled() ? "" : ", not having looked");
+                   (manager_->is_polled() ? "" : ", before the first poll");
         });
     if (!known.declined)
         handle_adoption(*by, lease);
@@ -322,10 +322,10 @@
     std::vector<run_ref> begun;
     for (const auto lease : leases_of(to))
     {
-        const auto random_duration = manager_->take_ends(lease);
-        ends.insert(ends.end(), random_duration.begin(), random_duration.end());
-        const auto more = manager_->take_started(lease);
-        begun.insert(begun.end(), more.begin(), more.end());
+        const auto lease_ends = manager_->take_ends(lease);
+        ends.insert(ends.end(), lease_ends.begin(), lease_ends.end());
+        const auto lease_starts = manager_->take_started(lease);
+        begun.insert(begun.end(), lease_starts.begin(), lease_starts.end());
     }
     out.next_within = pacing_.heartbeat(to.status, open_sessions());
     out.sent_at = node_.clock().now();
--- a/tests/schedule/simulated_entry.cpp
+++ b/tests/schedule/simulated_entry.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-/// As in durable_service.cpp.
+/// Intervals used in durable_service.cpp.
 constexpr duration tick_interval = milliseconds{50};
 constexpr duration store_timeout = milliseconds{500};
-/// As in agent_sessions.cpp.
+/// Interval used in agent_sessions.cpp.
 constexpr duration max_session_gap = seconds{5};
 
 std::string agent_name(std::size_t agent)
@@ -116,7 +116,7 @@
     for (std::size_t i = 0; i < sessions_.size(); ++i)
     {
         auto& one = sessions_[i];
-        // Its VM refuses what is for a process that has gone.
+        // The agent VM resets connections of an ended process.
         if (one.connection &&
             one.connection->has_restarted(direction::to_agent) &&
             agents_[i].agent->node().is_up() && agents_[i].link->passes(time_))
@@ -133,8 +133,8 @@
     node_.later(tick_interval, [this] { tick(); });
 }
 
-/// The handshake passes both ways; a process that stands still has been
-/// listening.
+/// Connects after a handshake in both directions; a paused process still
+/// accepts connections.
 void simulated_entry::connect(std::size_t agent)
 {
     auto& one = sessions_[agent];
@@ -346,7 +346,7 @@
     return jobs->assign(task, agent);
 }
 
-/// The connection, or an attempt to connect, has failed.
+/// Handles a failed connection or attempt to connect.
 void simulated_entry::connection_failed(std::size_t agent, bool refused)
 {
     auto& gone = sessions_[agent];
@@ -430,8 +430,9 @@
         if (!silence.memory_ended && length > memory_agent_timeout)
         {
             silence.memory_ended = true;
-            time_.trace([&]
-                        { return node_.name() + " gives " + agent + " up"; });
+            time_.trace(
+                [&]
+                { return node_.name() + " regards " + agent + " as lost"; });
             memory_->on_agent_lost(agent);
         }
         if (silence.parts_ended ||
@@ -458,7 +459,8 @@
 void simulated_entry::submit(const job_definition& job, job_reply_handler done)
 {
     time_.trace(
-        [&] { return node_.name() + " gets job " + std::to_string(job.id); });
+        [&]
+        { return node_.name() + " receives job " + std::to_string(job.id); });
     auto* jobs = coordinator_of(
         job.durability_class == durability::in_memory ? memory_part : 0);
     if (jobs == nullptr)
--- a/tests/schedule/simulated_entry.hpp
+++ b/tests/schedule/simulated_entry.hpp
@@ -14,48 +14,49 @@
 namespace glenhollow
 {
 
-/// An entry's processes, one after the other, and the entry's side of
-/// sessions: real coordinators and a real dispatcher below the order of events
-/// that agent_sessions and durable_service keep.
+/// Simulates the successive processes of an entry and its side of sessions.
+/// Real coordinators and a real dispatcher run below; this class replaces
+/// agent_sessions and durable_service.
 ///
-/// | here             | in the product                                     |
-/// | ---------------- | -------------------------------------------------- |
-/// | connect          | rpc_link::tick, agent_sessions::connected          |
-/// | attached         | agent_sessions::attached,                          |
-/// |                  | durable_service::agent_attached                    |
-/// | adopt_at         | agent_sessions::adopt_at, ::is_account_complete, | | |
-/// durable_service::agent_adopted                     | | heard            |
-/// agent_sessions::heard, report_server::report,      | |                  |
-/// durable_service::agent_reported                    | | send             |
-/// agent_sessions::send,                              | |                  |
-/// durable_service::agent_ordered                     | | down             |
-/// rpc_link::state::fail, agent_sessions::down,       | |                  |
-/// durable_service::agent_detached                    | | close_silent_sessions
-/// | agent_sessions::tick                               | | check_agents     |
-/// durable_service::check_agents                      | | tick             |
-/// durable_service::tick, in its order                | | submit, withdraw |
-/// durable_service::submit and what it returns        |
+/// | here                  | in the product                         |
+/// | --------------------- | -------------------------------------- |
+/// | connect               | rpc_link::tick                         |
+/// | connected             | agent_sessions::connected              |
+/// | attached              | agent_sessions::attached,              |
+/// |                       | durable_service::agent_attached        |
+/// | adopt_at              | agent_sessions::adopt_at               |
+/// | is_account_complete   | agent_sessions::is_account_complete    |
+/// | adopted               | durable_service::agent_adopted         |
+/// | on_report             | agent_sessions::on_report,             |
+/// |                       | durable_service::agent_reported        |
+/// | send                  | agent_sessions::send,                  |
+/// |                       | durable_service::agent_ordered         |
+/// | connection_failed     | agent_sessions::disconnected,          |
+/// |                       | durable_service::agent_detached        |
+/// | close_silent_sessions | agent_sessions::tick                   |
+/// | check_agents          | durable_service::check_agents          |
+/// | tick                  | durable_service::tick                  |
+/// | submit, withdraw      | durable_service::submit and its result |
 class simulated_entry final : private order_sender,
                               private task_source,
                               private report_receiver
 {
 public:
-    /// The network to one agent.
+    /// Route to one agent.
     struct agent_route
     {
-        simulated_agent* agent = nullptr; ///< Which.
-        simulated_link* link = nullptr;   ///< The way there.
+        simulated_agent* agent = nullptr;
+        simulated_link* link = nullptr; ///< Network link to the agent.
     };
 
-    /// @param time Outlives it.
-    /// @param store Of the journal; outlives it.
-    /// @param number Its own.
-    /// @param rate Of its clock.
+    /// @param time Must outlive the entry.
+    /// @param store Store of the journal; must outlive the entry.
+    /// @param rate Rate of its clock.
     simulated_entry(simulated_time& time, simulated_store& store,
                     std::size_t number, double rate);
     ~simulated_entry() override;
 
-    /// @param agents In their order; known from the start.
+    /// @param agents Routes to all agents, by number.
     void set_agents(std::vector<agent_route> agents)
     {
         agents_ = std::move(agents);
@@ -70,53 +71,57 @@
         refuses_connections_ = std::move(refuses_connections);
     }
 
-    /// A process begins.
+    /// Starts a process.
     void begin();
 
-    /// The process ends without a word.
-    /// @param told Whether its VM tells those that are connected.
+    /// Ends the process without notice of its own.
+    /// @param notify_peers Whether its VM closes the connections.
     void end(bool notify_peers);
 
     /// @return Its process.
     simulated_node& node() { return node_; }
 
-    /// @return Its part of the journal.
+    /// @return Its ownership of the journal part.
     simulated_ownership& ownership() { return *ownership_; }
 
-    /// A submission is here.
+    /// Handles a submission.
     void submit(const job_definition& job, job_reply_handler done);
 
-    /// A caller has gone.
+    /// Handles the loss of a caller.
     void withdraw(job_id id);
 
-    /// The network resets its connection with an agent.
+    /// Resets the connection to an agent.
     void reset(std::size_t agent);
 
-    /// The VM of an agent tells that its process has ended.
+    /// Handles the notice of an agent VM that its process has ended.
     void on_agent_ended(std::size_t agent);
 
 private:
     struct session
     {
-        std::shared_ptr<simulated_connection> connection; ///< Null: none.
-        bool connecting = false;                   ///< An attempt is under way.
-        bool attached = false;                     ///< It has been opened.
-        std::uint64_t number = 0;                  ///< Here, rising.
-        std::uint64_t agent_session = 0;           ///< Its number there.
-        std::uint64_t process = 0;                 ///< Of the agent.
-        std::uint64_t accounted_process = 0;       ///< Process that told last.
-        instant silent_since{};                    ///< Unless it reports.
-        instant down_since{};                      ///< Last session's end.
-        instant retry_at{};                        ///< When to connect.
-        agent_clock clock;                         ///< As far as it is known.
-        link_backoff backoff{rpc_link_settings{}}; ///< Between attempts.
+        /// Connection, or null.
+        std::shared_ptr<simulated_connection> connection;
+        /// Whether an attempt to connect is under way.
+        bool connecting = false;
+        bool attached = false;    ///< Whether the session is open.
+        std::uint64_t number = 0; ///< Number of the session at this entry.
+        /// Number of the session at the agent.
+        std::uint64_t agent_session = 0;
+        std::uint64_t process = 0; ///< Process of the agent.
+        /// Process that sent the last account.
+        std::uint64_t accounted_process = 0;
+        instant silent_since{}; ///< Time since which no report arrived.
+        instant down_since{};   ///< End of the last session.
+        instant retry_at{};     ///< Time of the next attempt to connect.
+        agent_clock clock;      ///< Estimate of the agent clock.
+        link_backoff backoff{rpc_link_settings{}}; ///< Delay between attempts.
     };
 
     struct agent_silence
     {
-        instant since{};           ///< Unless it reports.
-        bool memory_ended = false; ///< Its runs in memory are given up.
-        bool parts_ended = false;  ///< All its runs are.
+        instant since{};           ///< Time since which no report arrived.
+        bool memory_ended = false; ///< Whether its in-memory runs are given up.
+        bool parts_ended = false; ///< Whether its journalled runs are given up.
     };
 
     void send(const std::string& agent, order_batch batch) override;
@@ -144,25 +149,27 @@
     job_coordinator* coordinator_of(part_number part);
     job_coordinator::dependencies dependencies();
 
-    simulated_time& time_;            ///< Of the simulation.
-    std::size_t number_;              ///< Its own.
-    simulated_node node_;             ///< Its process.
-    simulated_store& store_;          ///< Of the journal.
-    std::vector<agent_route> agents_; ///< By number.
-    std::vector<std::size_t> others_; ///< Other entries.
-    std::function<bool(std::size_t)> refuses_connections_; ///< One's VM does.
-    std::vector<session> sessions_;                        ///< By agent.
-    std::map<std::string, agent_silence> silences_;        ///< By agent.
-    std::unique_ptr<watched_store> watched_;               ///< Of the process.
-    std::unique_ptr<dispatcher> dispatcher_;               ///< Of the process.
-    std::unique_ptr<job_coordinator> memory_;              ///< Of the process.
-    std::unique_ptr<simulated_ownership> ownership_;       ///< Of the process.
-    std::uint64_t last_session_number_ = 0;                ///< Of sessions.
-    bool dispatch_scheduled_ = false;                      ///< One comes.
+    simulated_time& time_;
+    std::size_t number_;              ///< Number of the entry.
+    simulated_node node_;             ///< Entry process.
+    simulated_store& store_;          ///< Store of the journal.
+    std::vector<agent_route> agents_; ///< Routes to agents, by number.
+    std::vector<std::size_t> others_; ///< Numbers of the other entries.
+    /// Whether the VM of an entry refuses connections.
+    std::function<bool(std::size_t)> refuses_connections_;
+    std::vector<session> sessions_;                 ///< Sessions by agent.
+    std::map<std::string, agent_silence> silences_; ///< Silence by agent.
+    std::unique_ptr<watched_store> watched_; ///< Store client of the process.
+    std::unique_ptr<dispatcher> dispatcher_;
+    /// Coordinator of in-memory jobs.
+    std::unique_ptr<job_coordinator> memory_;
+    /// Ownership of the journal part.
+    std::unique_ptr<simulated_ownership> ownership_;
+    std::uint64_t last_session_number_ = 0;
+    bool dispatch_scheduled_ = false;
 };
 
-/// @param time Of the simulation.
-/// @return The time of day, ms; the same everywhere.
+/// @return Simulated time of day, ms; equal for all processes.
 inline std::int64_t simulated_wall_ms(const simulated_time& time)
 {
     return 1'000'000 +
--- a/tests/schedule/simulated_link.hpp
+++ b/tests/schedule/simulated_link.hpp
@@ -12,33 +12,31 @@
 namespace glenhollow
 {
 
-/// Which way a message goes.
+/// Direction of a message.
 enum class direction : std::uint8_t
 {
-    to_agent, ///< From the entry.
-    to_entry  ///< From the agent.
+    to_agent, ///< Entry to agent.
+    to_entry  ///< Agent to entry.
 };
 
-/// The network between an entry and an agent. A message that can't pass waits,
-/// as a TCP stream does, until it can or its connection is reset.
+/// The network between an entry and an agent. As in a TCP stream, a blocked
+/// message waits until the channel reopens or the connection is reset.
 struct simulated_link
 {
-    /// One way.
+    /// One direction of the link.
     struct channel
     {
-        duration delay = microseconds{300}; ///< Of a message.
-        instant blocked_until{};            ///< Nothing passes before.
+        duration delay = microseconds{300}; ///< Delay of a message.
+        instant blocked_until{};            ///< Messages wait until then.
     };
 
-    /// @param way Which.
-    /// @return That lane.
+    /// @return Channel of that direction.
     channel& to(direction direction_to)
     {
         return channels[static_cast<std::size_t>(direction_to)];
     }
 
-    /// @param time Of the simulation.
-    /// @return Whether messages pass both ways now.
+    /// @return Whether messages pass in both directions now.
     bool passes(const simulated_time& time) const
     {
         const auto now = time.loop.clock.now();
@@ -46,7 +44,7 @@
                channels[1].blocked_until <= now;
     }
 
-    std::array<channel, 2> channels; ///< By direction.
+    std::array<channel, 2> channels; ///< Channels by direction.
 };
 
 /// One connection between an entry's and an agent's process. Messages of one
@@ -55,10 +53,7 @@
     : public std::enable_shared_from_this<simulated_connection>
 {
 public:
-    /// @param time Outlives it.
-    /// @param link Outlives it.
-    /// @param entry Outlives it.
-    /// @param agent Outlives it.
+    /// All arguments must outlive the connection.
     simulated_connection(simulated_time& time, simulated_link& link,
                          simulated_node& entry, simulated_node& agent)
         : time_(time),
@@ -67,8 +62,8 @@
     {
     }
 
-    /// @param way Where to.
-    /// @param work What the receiver does with the message.
+    /// Sends a message.
+    /// @param work Handles the message at the receiver.
     void send(direction direction_to, std::function<void()> work)
     {
         const auto to = static_cast<std::size_t>(direction_to);
@@ -90,9 +85,9 @@
             });
     }
 
-    /// One side closes; the other hears of it after all that was sent.
-    /// @param from Whose messages are the last ones.
-    /// @param told Done at the other side.
+    /// Closes one side; the other is notified after all messages sent before.
+    /// @param from Direction in which the closing side sends.
+    /// @param on_closed Runs at the other side.
     void close(direction from, std::function<void()> on_closed)
     {
         const auto other = static_cast<std::size_t>(from);
@@ -106,32 +101,32 @@
             });
     }
 
-    /// What is on its way is lost.
+    /// Drops all messages in transit.
     void reset() { reset_ = true; }
 
-    /// @param side The receiver of that direction.
-    /// @return Whether its process has ended since.
+    /// @return Whether the receiving process has ended since the connect.
     bool has_restarted(direction side) const
     {
         const auto to = static_cast<std::size_t>(side);
         return nodes_[to]->process() != processes_[to];
     }
 
-    /// @param side The receiver of that direction.
-    /// @return Whether that side believes it open.
+    /// @return Whether the receiver of that direction regards it as open.
     bool open(direction side) const
     {
         return open_[static_cast<std::size_t>(side)] && !reset_;
     }
 
 private:
-    simulated_time& time_;                   ///< Of the simulation.
-    simulated_link& link_;                   ///< Its network.
-    std::array<simulated_node*, 2> nodes_;   ///< Receivers by direction.
-    std::array<std::uint64_t, 2> processes_; ///< Of these, at the begin.
-    std::array<instant, 2> last_arrivals_{}; ///< Last arrivals.
-    std::array<bool, 2> open_{true, true};   ///< By receiver.
-    bool reset_ = false;                     ///< By the network.
+    simulated_time& time_;
+    simulated_link& link_;                 ///< Network that carries it.
+    std::array<simulated_node*, 2> nodes_; ///< Receivers, by direction.
+    /// Process numbers of the receivers when it was opened.
+    std::array<std::uint64_t, 2> processes_;
+    std::array<instant, 2> last_arrivals_{}; ///< Last arrivals, by direction.
+    std::array<bool, 2> open_{
+        true, true}; ///< Whether the receiver regards it as open, by direction.
+    bool reset_ = false; ///< Whether the network has reset it.
 };
 
 } // namespace glenhollow
--- a/tests/schedule/simulated_node.hpp
+++ b/tests/schedule/simulated_node.hpp
@@ -13,28 +13,28 @@
 namespace glenhollow
 {
 
-/// Time, chance and the written order of events of one simulation.
+/// Clock, random engine and trace of one simulation.
 class simulated_time final
 {
 public:
-    /// @param seed Of all that is drawn.
-    /// @param tracing Whether the order of events is written down.
+    /// @param seed Seed of the random engine.
+    /// @param tracing Whether the trace is recorded.
     explicit simulated_time(std::uint64_t seed, bool tracing = false)
         : random(seed), tracing_(tracing)
     {
     }
 
-    /// @return Time since the simulation began, by one clock.
+    /// @return Time since the start of the simulation.
     duration elapsed() const { return loop.clock.now() - seconds{1000}; }
 
-    /// @param wait From now.
-    /// @param work Runs then, whatever stands still.
+    /// Runs work after a delay, regardless of paused processes.
     void after(duration wait, std::function<void()> work)
     {
         loop.delay()(wait, std::move(work));
     }
 
-    /// @param line Made only where somebody reads it.
+    /// Adds a line to the trace.
+    /// @param line Returns the line; called only while tracing.
     template <class Line>
     void trace(Line&& line)
     {
@@ -47,70 +47,62 @@
         lines.push_back(text + " us " + line());
     }
 
-    /// @param most Exclusive.
-    /// @return A time below it.
+    /// @return A random duration below `most`.
     duration random_duration(duration most)
     {
         return duration{static_cast<duration::rep>(
             uniform(random) * static_cast<double>(most.count()))};
     }
 
-    /// @param share Of 1.
-    /// @return True so often.
+    /// @return True with the probability `share`.
     bool chance(double share) { return uniform(random) < share; }
 
-    /// @param from What can be drawn.
-    /// @return One of it.
+    /// @return A random element.
     template <class Values>
     auto pick(const Values& from)
     {
         return *(std::begin(from) + random() % std::size(from));
     }
 
-    manual_loop loop;               ///< Runs all events.
-    random_engine random;           ///< Draws.
-    std::vector<std::string> lines; ///< Events so far, one a line.
-    const std::string* active_process =
-        nullptr; ///< Name of the process whose work is
-                 ///< being done; null: of none.
+    manual_loop loop; ///< Runs all events.
+    random_engine random;
+    std::vector<std::string> lines; ///< Recorded trace.
+    /// Name of the running process.
+    const std::string* active_process = nullptr;
 
 private:
-    bool tracing_; ///< Lines are kept.
+    bool tracing_; ///< Whether the trace is recorded.
 };
 
-/// A process with a clock of its own. It may stand still: what falls due or
-/// arrives meanwhile is done when it goes on, timers and messages in either
-/// order, each of them in their own.
+/// A process with its own clock. Timers and messages that fall due during a
+/// pause run after it: either all timers or all messages first, each in order.
 class simulated_node final
 {
 public:
-    /// @param time Outlives the node.
-    /// @param name For the written order of events.
-    /// @param rate Of its clock.
+    /// @param time Must outlive the node.
+    /// @param name Name in the trace.
+    /// @param rate Rate of its clock.
     simulated_node(simulated_time& time, std::string name, double rate)
         : time_(time), name_(std::move(name)), clock_(time.loop.clock, rate)
     {
     }
 
-    /// @return Its name.
     const std::string& name() const { return name_; }
 
-    /// @return Its clock.
     const clock_source& clock() const { return clock_; }
 
-    /// @return How fast its clock goes.
+    /// @return Rate of its clock against that of the simulation.
     double rate() const { return clock_.rate(); }
 
-    /// @return Whether its process runs, or stands still.
+    /// @return Whether its process exists, paused or not.
     bool is_up() const { return up_; }
 
-    /// @return Number of its process, rising.
+    /// @return Number of its process; increases with each begin and end.
     std::uint64_t process() const { return process_; }
 
-    /// @return Whether it stands still now.
     bool is_paused() const { return time_.loop.clock.now() < paused_until_; }
 
-    /// A process begins.
+    /// Starts a process.
     void begin()
     {
         up_ = true;
@@ -119,7 +111,7 @@
         deferred_.clear();
     }
 
-    /// Its process ends; nothing of it is done any more.
+    /// Ends the process and drops its pending work.
     void end()
     {
         up_ = false;
@@ -127,14 +119,14 @@
         deferred_.clear();
     }
 
-    /// @param length It stands still so long from now on.
+    /// Pauses the process; a longer pause under way stays.
     void pause(duration length)
     {
         const auto until = time_.loop.clock.now() + length;
         if (!up_ || until <= paused_until_)
             return;
         paused_until_ = until;
-        time_.trace([&] { return name_ + " stands still"; });
+        time_.trace([&] { return name_ + " is paused"; });
         time_.after(length,
                     [this, mine = process_, until]
                     {
@@ -143,9 +135,9 @@
                     });
     }
 
-    /// The machine under it is suspended: as if it stood still, and its steady
-    /// clock does so as well, so that its timers come later.
-    /// @param length By the simulation's clock.
+    /// Suspends its machine: pauses the process and stops its steady clock, so
+    /// that its timers fire later.
+    /// @param length Duration by the clock of the simulation.
     void suspend(duration length)
     {
         if (!up_)
@@ -154,11 +146,11 @@
         pause(length);
     }
 
-    /// @param wait By its own clock.
-    /// @param work Of its process.
+    /// Starts a timer.
+    /// @param wait Delay by its own clock.
     void later(duration wait, std::function<void()> work)
     {
-        // Timers come late, never early.
+        // Timers fire late, never early.
         const auto length = static_cast<double>(wait.count()) / clock_.rate();
         const auto rounded = static_cast<duration::rep>(length);
         schedule(wait.count() == 0 ? duration{0} : duration{rounded + 2000},
@@ -172,14 +164,14 @@
                  });
     }
 
-    /// @param way Of a message to it.
-    /// @param work What it does with it.
+    /// Delivers a message after a delay.
+    /// @param work Handles the message.
     void deliver(duration message_delay, std::function<void()> work)
     {
         schedule(message_delay, true, std::move(work));
     }
 
-    /// @return Runs delayed work of its process.
+    /// @return A function that starts timers of its process.
     std::function<void(duration, std::function<void()>)> delay()
     {
         return [this](duration wait, std::function<void()> work)
@@ -187,7 +179,7 @@
     }
 
 private:
-    /// A clock that goes at another rate than that of the simulation.
+    /// A clock whose rate differs from that of the simulation.
     class skewed_clock final : public clock_source
     {
     public:
@@ -215,15 +207,15 @@
         }
 
     private:
-        const clock_source& from_; ///< That of the simulation.
-        double rate_;              ///< Against it.
-        duration suspended_{};     ///< So far, by this clock.
+        const clock_source& from_; ///< Clock of the simulation.
+        double rate_;              ///< Rate against that clock.
+        duration suspended_{};     ///< Total suspended time by this clock.
     };
 
     struct deferred_work
     {
-        bool message = false;       ///< Else a timer.
-        std::function<void()> work; ///< What is to be done.
+        bool message = false; ///< Whether it is a message or a timer.
+        std::function<void()> work;
     };
 
     void schedule(duration wait, bool message, std::function<void()> work)
@@ -249,7 +241,7 @@
 
     void resume()
     {
-        time_.trace([&] { return name_ + " goes on"; });
+        time_.trace([&] { return name_ + " resumes"; });
         const bool messages_first = time_.chance(0.5);
         const auto deferred = std::exchange(deferred_, {});
         const auto mine = process_;
@@ -263,13 +255,13 @@
         }
     }
 
-    simulated_time& time_;                ///< Of the simulation.
-    std::string name_;                    ///< Its name.
-    skewed_clock clock_;                  ///< Its clock.
-    bool up_ = false;                     ///< Its process runs.
+    simulated_time& time_;
+    std::string name_; ///< Name in the trace.
+    skewed_clock clock_;
+    bool up_ = false;                     ///< Whether the process exists.
     std::uint64_t process_ = 0;           ///< Number of the process.
-    instant paused_until_{};              ///< It stands still until then.
-    std::vector<deferred_work> deferred_; ///< To be done when it goes on.
+    instant paused_until_{};              ///< End of the pause.
+    std::vector<deferred_work> deferred_; ///< Work to run after the pause.
 };
 
 } // namespace glenhollow
--- a/tests/schedule/simulated_ownership.cpp
+++ b/tests/schedule/simulated_ownership.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// Of a call that gets no answer.
+/// Timeout of an unanswered call.
 constexpr duration store_timeout = milliseconds{400};
 constexpr duration message_delay = microseconds{700};
 
@@ -20,8 +20,8 @@
 
 } // namespace
 
-/// @param done Told, once, while the process lives.
-/// @param serve What the store does, told how to answer.
+/// @param done Receives the result, once, while the process exists.
+/// @param serve Executes the call and passes the answer on.
 template <class Result, class Call>
 void simulated_store::call(std::function<void(Result)> done, Call serve)
 {
@@ -332,7 +332,7 @@
 
 void simulated_ownership::release()
 {
-    time_.trace([&] { return entry_name(entry_) + " gives the part away"; });
+    time_.trace([&] { return entry_name(entry_) + " releases the part"; });
     released_ = jobs_->epoch().epoch;
     jobs_->abandon();
     jobs_.reset();
--- a/tests/schedule/simulated_ownership.hpp
+++ b/tests/schedule/simulated_ownership.hpp
@@ -15,13 +15,12 @@
 namespace glenhollow
 {
 
-/// An entry's way to the store of the journal.
+/// Connection of an entry to the store of the journal.
 class simulated_store final : public row_store
 {
 public:
-    /// @param time Outlives it.
-    /// @param rows The store itself; outlives it.
-    /// @param caller The entry's process; outlives it.
+    /// @param time Must outlive the connection.
+    /// @param rows Store; must outlive the connection.
     simulated_store(simulated_time& time, fake_row_store& rows)
         : time_(time), rows_(rows)
     {
@@ -32,76 +31,76 @@
     void follow(const std::string& table, std::uint64_t after, duration wait,
                 feed_handler done) override;
 
-    simulated_node* caller = nullptr; ///< The entry's process.
-    instant blocked_until{};          ///< No call passes before.
-    double lost_answers = 0;          ///< Share of calls done, unanswered.
+    simulated_node* caller = nullptr; ///< Entry process.
+    instant blocked_until{};          ///< No call passes before then.
+    double lost_answers = 0; ///< Share of calls executed without an answer.
 
 private:
     template <class Result, class Call>
     void call(std::function<void(Result)> done, Call serve);
 
-    simulated_time& time_; ///< Of the simulation.
-    fake_row_store& rows_; ///< The store itself.
+    simulated_time& time_;
+    fake_row_store& rows_;
 };
 
-/// What an entry tells the others, and when it was heard.
+/// Ownership state that entries exchange.
 struct ownership_view
 {
-    instant received_at{};         ///< By the hearer's clock; 0: never.
-    instant requested_at{};        ///< When it was asked for, by that clock.
-    std::uint64_t incarnation = 0; ///< Of its process.
-    std::uint32_t epoch = 0;       ///< Under which it owns the part; 0: not.
-    std::uint32_t released = 0;    ///< Last epoch that it gave away.
-    bool reaches_store = true;     ///< The store answers it.
+    /// Time of receipt by the clock of the receiver; 0: never.
+    instant received_at{};
+    instant requested_at{};        ///< Time of the request by the same clock.
+    std::uint64_t incarnation = 0; ///< Process of the entry.
+    std::uint32_t epoch = 0;       ///< Epoch of its ownership; 0: none.
+    std::uint32_t released = 0;    ///< Last epoch that it released.
+    bool reaches_store = true;     ///< Whether it reaches the store.
 };
 
-/// An entry's seat for the only part of the journal, with a real coordinator
-/// and chain, below the order of events that part_ownership keeps.
+/// Simulates part_ownership for the only part of the journal, with a real
+/// coordinator and chain.
 ///
-/// | here          | in the product                                   |
-/// | ------------- | ------------------------------------------------ |
-/// | tick          | part_ownership::tick                             |
-/// | look, looked  | the same                                         |
-/// | claim, loaded | the same                                         |
-/// | lose, release | the same                                         |
-/// | check_claim | the same, and ::claim_checked                  |
-/// | oldest_confirmation   | entry_peers::oldest_confirmation | | hear, is_live
-/// | entry_peers: views, live by exchange_pacing      |
+/// | here                  | in the product                        |
+/// | --------------------- | ------------------------------------- |
+/// | tick                  | part_ownership::tick                  |
+/// | read_head, head_read  | the same                              |
+/// | claim, loaded         | the same                              |
+/// | lose, release         | the same                              |
+/// | check_claim           | the same, and ::claim_checked         |
+/// | oldest_confirmation   | entry_peers::oldest_confirmation      |
+/// | receive_view, is_live | entry_peers::view_received, ::is_live |
 class simulated_ownership final
 {
 public:
-    /// What it needs of its entry.
+    /// Services of the entry.
     struct dependencies
     {
-        job_coordinator::dependencies jobs;            ///< Of the coordinator.
-        std::function<std::set<std::string>()> agents; ///< That may run.
-        std::function<void(part_epoch)> ownership_acquired; ///< Told.
-        std::function<void()> ownership_ended;              ///< Told.
-        std::function<bool(std::size_t)>
-            refuses_connections;         ///< Whether the VM of
-                                         ///< another entry refuses
-                                         ///< connections.
+        /// Dependencies of the coordinator.
+        job_coordinator::dependencies jobs;
+        /// Agents that may have runs.
+        std::function<std::set<std::string>()> agents;
+        /// Called with the new claim.
+        std::function<void(part_epoch)> ownership_acquired;
+        std::function<void()> ownership_ended; ///< Called when it ends.
+        /// Whether the VM of another entry refuses connections.
+        std::function<bool(std::size_t)> refuses_connections;
         std::vector<std::size_t> others; ///< The other entries.
     };
 
-    /// @param time Outlives it.
-    /// @param around Outlives it.
+    /// @param time Must outlive it.
     /// @param entry Number of its entry.
-    /// @param incarnation Of its entry's process.
+    /// @param incarnation Process of the entry.
     simulated_ownership(simulated_time& time, dependencies context,
                         std::size_t entry, std::uint64_t incarnation);
 
     /// @param reachable Whether the store answers.
     void tick(bool reachable);
 
-    /// @param entry Another one.
-    /// @param view Its view.
+    /// Records the view of another entry.
     void receive_view(std::size_t entry, ownership_view view);
 
-    /// @return What it tells the others.
+    /// @return View for the other entries.
     ownership_view view() const;
 
-    /// @return The jobs, or null.
+    /// @return Coordinator, or null without the part.
     job_coordinator* jobs() { return jobs_.get(); }
 
     /// @return Whether the leases of its claim may be renewed now.
@@ -123,23 +122,26 @@
     void lose();
     void release();
 
-    simulated_time& time_;                        ///< Of the simulation.
-    dependencies context_;                        ///< Of its entry.
-    std::size_t entry_;                           ///< Number of its entry.
-    std::uint64_t incarnation_;                   ///< Of the process.
-    part_ownership_settings settings_;            ///< Limits.
-    std::map<std::size_t, ownership_view> views_; ///< Of the others.
-    std::unique_ptr<job_coordinator> jobs_;       ///< While it owns the part.
-    claim_validity validity_;                     ///< For its claim.
-    instant claim_sent_{};                        ///< When that left.
-    bool claiming_ = false;                       ///< A call is out.
-    bool head_seen_ = false;                      ///< The head was seen before.
-    bool reachable_ = true;                       ///< The store answers.
-    chain_head seen_head_;                        ///< Then.
-    std::uint32_t released_ = 0;                  ///< Last epoch given away.
-    instant free_since_{};                        ///< Without an owner.
-    instant retry_at_{};                          ///< No look before.
-    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true); ///< Guard.
+    simulated_time& time_;
+    dependencies context_;      ///< Services of the entry.
+    std::size_t entry_;         ///< Number of its entry.
+    std::uint64_t incarnation_; ///< Process of the entry.
+    part_ownership_settings settings_;
+    /// Views of the other entries.
+    std::map<std::size_t, ownership_view> views_;
+    /// Coordinator while it owns the part.
+    std::unique_ptr<job_coordinator> jobs_;
+    claim_validity validity_;    ///< Validity of its claim.
+    instant claim_sent_{};       ///< Time at which the claim was sent.
+    bool claiming_ = false;      ///< Whether a claim is under way.
+    bool head_seen_ = false;     ///< Whether the head was read before.
+    bool reachable_ = true;      ///< Whether the store answers.
+    chain_head seen_head_;       ///< Head as last read.
+    std::uint32_t released_ = 0; ///< Last released epoch.
+    instant free_since_{};       ///< Time since which no live owner is known.
+    instant retry_at_{};         ///< Time of the next read of the head.
+    /// Cleared by the destructor.
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 
 public:
     ~simulated_ownership() { *alive_ = false; }
--- a/tests/schedule/simulated_server.cpp
+++ b/tests/schedule/simulated_server.cpp
@@ -9,16 +9,16 @@
 namespace
 {
 
-/// As the product's client of backend servers has it.
+/// Timeouts used by the backend server client.
 constexpr duration order_timeout = milliseconds{250};
 constexpr duration hold_grace = milliseconds{250};
-/// Of a message on one VM.
+/// Delay of a message within one VM.
 constexpr duration message_delay = microseconds{400};
-/// A call that is carried out late waits so long at most.
+/// Longest delay of a late call.
 constexpr duration max_late_delay = milliseconds{3500};
 
 constexpr std::int64_t first_born_ms = 1'000'000;
-/// What the clock of a first life shows at its begin, where that is fixed.
+/// Reading of the clock when the first incarnation starts, where it is fixed.
 constexpr duration first_clock_reading = seconds{8};
 
 } // namespace
@@ -109,7 +109,8 @@
     return false;
 }
 
-/// Never shortens; a longer one than the platform allows is cut.
+/// Extends the hold up to the longest that the platform grants; never shortens
+/// it.
 void simulated_server::extend(std::int64_t deadline_ms)
 {
     const auto cut = std::min(deadline_ms, now_ms() + max_hold_ms);
@@ -128,7 +129,7 @@
 void simulated_server::schedule_lapse()
 {
     const auto left = milliseconds{hold_until_ms_ - now_ms()};
-    // Also a process that stands still loses its runs by then.
+    // The hold of a paused process lapses as well.
     const auto length =
         static_cast<double>(duration{left}.count()) / node_.rate();
     time_.after(duration{static_cast<duration::rep>(length)} +
@@ -139,7 +140,7 @@
                         asked != hold_until_ms_ || !node_.is_up())
                         return;
                     if (now_ms() < hold_until_ms_)
-                        return schedule_lapse(); // It was suspended meanwhile.
+                        return schedule_lapse(); // The machine was suspended.
                     lapse();
                 });
 }
@@ -321,10 +322,9 @@
     done(run_lists());
 }
 
-/// @param timeout After which its caller gives it up.
-/// @param done Told, once.
-/// @param serve What the server does, told how to answer.
-/// @param unreached The answer where nobody listens.
+/// @param done Receives the result, once.
+/// @param serve Executes the call and passes the answer on.
+/// @param unreachable_answer Result while the server is down.
 template <class Result, class Call>
 void simulated_server_port::call(duration timeout,
                                  std::function<void(Result)> done, Call serve,
@@ -356,7 +356,7 @@
         late || drawn < link.lost + link.late + link.unanswered;
     const auto slow = late ? time_.random_duration(max_late_delay)
                            : time_.random_duration(2 * message_delay);
-    // An answer finds the process that has asked, if it is there.
+    // Answers reach only the process that made the call.
     const auto answer = [this, once, drop_answer](const Result& got)
     {
         if (!drop_answer)
@@ -371,9 +371,8 @@
     server_.node().deliver(slow, [serve, guarded] { serve(guarded); });
 }
 
-/// A connection leads to the life that was there when it was made, and ends
-/// with it; its first call has told which that is.
-/// @return Whether an order is for another life and comes back unsent.
+/// A connection belongs to one incarnation of the server and ends with it.
+/// @return Whether an order names another incarnation and is rejected unsent.
 bool simulated_server_port::rejects_incarnation(const order_context& context,
                                                 const order_handler& done)
 {
@@ -418,8 +417,8 @@
     hold_result unreachable_answer;
     unreachable_answer.outcome = order_outcome::unhealthy;
     unreachable_answer.reached = false;
-    // As the client of the platform has it: what holds for one connection goes
-    // out on that one alone.
+    // As in the platform client, confirmations and deadlines are valid only on
+    // the connection for which they were made.
     auto sent_request = request;
     if (request.link != server_.incarnation())
     {
--- a/tests/schedule/simulated_server.hpp
+++ b/tests/schedule/simulated_server.hpp
@@ -12,43 +12,44 @@
 namespace glenhollow
 {
 
-/// How calls between an agent and its backend server fare.
+/// Faults of the calls between an agent and its backend server.
 struct server_link
 {
-    double lost = 0;       ///< Share that never arrives.
-    double unanswered = 0; ///< Share that is done, its answer lost.
-    double late = 0;       ///< Share that is done seconds later, unanswered.
+    double lost = 0; ///< Share of calls that never arrive.
+    /// Share of calls that are executed without an answer.
+    double unanswered = 0;
+    /// Share of calls executed seconds late without an answer.
+    double late = 0;
 };
 
-/// A backend server by the platform's rules.
+/// A backend server that follows the platform's protocol.
 class simulated_server final
 {
 public:
-    /// @param time Outlives it.
-    /// @param checks Told what it sees; outlives it.
-    /// @param number Its own.
-    /// @param rate Of its clock.
-    /// @param guards Whether it refuses what it has no room for.
+    /// @param time Must outlive the server.
+    /// @param checks Notified of starts and ends; must outlive the server.
+    /// @param rate Rate of its clock.
+    /// @param checks_capacity Whether it refuses runs beyond its capacity.
     simulated_server(simulated_time& time, run_checks& checks,
                      std::size_t number, double rate, bool checks_capacity);
 
-    /// A life begins.
-    /// @param same_id Under the id of the last one.
+    /// Starts a new incarnation.
+    /// @param same_id Whether it keeps the id of the last one.
     void begin(bool same_id);
 
-    /// The life ends with all that it runs.
+    /// Ends the incarnation and all its runs.
     void end();
 
-    /// @return Its account, as it registers it.
+    /// @return Its account as sent in registrations.
     server_account account() const;
 
-    /// Its process, which may stand still.
+    /// @return Its process, which can be paused.
     simulated_node& node() { return node_; }
 
-    /// @return Number of its life, and of all connections to it.
+    /// @return Number of its incarnation, which also identifies connections.
     std::uint64_t incarnation() const { return incarnations_; }
 
-    /// @return When its life started, by its own word.
+    /// @return Birth time that it reports.
     std::int64_t born_ms() const { return born_ms_; }
 
     void start(const run_start& start, const order_context& context,
@@ -58,45 +59,46 @@
     void hold(const hold_request& request,
               const backend_server_client::hold_handler& done);
 
-    /// A call is out: its connection breaks with the life.
-    /// @param told Whether it has ended.
-    /// @param broken Ends it without an answer.
+    /// Registers a pending call, which fails when the incarnation ends.
+    /// @param completed Whether the call has ended.
+    /// @param on_broken Ends the call without an answer.
     void track_call(const std::shared_ptr<bool>& completed,
                     std::function<void()> on_broken);
 
-    server_link link;              ///< To its agent.
-    bool clock_falls_back = false; ///< Each life's clock begins far behind the
-                                   ///< last one's, else anywhere.
+    server_link link; ///< Faults of calls from its agent.
+    /// Whether the clock of each incarnation starts behind that of the last
+    /// one.
+    bool clock_falls_back = false;
 
-    /// What all servers have: cores in thousandths, MiB.
+    /// Capacity of each server: thousandths of cores, MiB.
     static constexpr resources capacity{2000, 1000, 0};
-    /// The longest hold by the platform; agents ask for less.
+    /// Longest hold that the platform grants.
     static constexpr std::int64_t max_hold_ms = 2000;
-    /// A stop takes so long at most.
+    /// Longest duration of a stop.
     static constexpr duration max_stop_time = milliseconds{40};
 
 private:
     struct run_state
     {
-        run_ref run;                ///< Which.
-        instant began{};            ///< By the simulation's clock.
-        duration work{};            ///< All of it.
-        bool stopping = false;      ///< It will end so.
-        std::uint64_t local_id = 0; ///< Of this run here.
+        run_ref run;
+        instant began{};            ///< Start, by the clock of the simulation.
+        duration work{};            ///< Total run time.
+        bool stopping = false;      ///< Whether a stop is under way.
+        std::uint64_t local_id = 0; ///< Identifies the run at this server.
     };
 
     struct pending_poll
     {
-        std::uint64_t number = 0;                 ///< Of the look.
-        backend_server_client::hold_handler done; ///< Told.
+        std::uint64_t number = 0;                 ///< Number of the poll.
+        backend_server_client::hold_handler done; ///< Receives the answer.
     };
 
     using task_key = std::tuple<job_id, std::uint32_t, std::uint32_t>;
 
     struct open_call
     {
-        std::shared_ptr<bool> completed; ///< It has ended.
-        std::function<void()> on_broken; ///< Ends it.
+        std::shared_ptr<bool> completed; ///< Whether the call has ended.
+        std::function<void()> on_broken; ///< Ends the call without an answer.
     };
 
     static task_key key(const task_ref& task)
@@ -118,35 +120,35 @@
     void answer_polls();
     void answer_poll(std::uint64_t number);
 
-    simulated_time& time_;            ///< Of the simulation.
-    run_checks& checks_;              ///< Told.
-    std::size_t number_;              ///< Its own.
-    bool checks_capacity_;            ///< It refuses what it has no room for.
-    simulated_node node_;             ///< Its process.
-    std::string id_;                  ///< Of the life.
-    std::int64_t born_ms_ = 0;        ///< Of the life.
-    instant clock_origin_{};          ///< Its clock showed 0 then.
-    std::uint64_t incarnations_ = 0;  ///< So far.
-    std::uint64_t token_ = 0;         ///< Highest seen.
-    std::int64_t hold_until_ms_ = 0;  ///< The hold, by its clock.
-    std::uint64_t ends_ = 0;          ///< Numbers of the life.
-    std::uint64_t confirmed_ = 0;     ///< Ends up to it are forgotten.
-    std::uint64_t last_local_id_ = 0; ///< Of runs.
-    std::uint64_t last_poll_number_ = 0;           ///< So far.
-    std::list<run_state> running_;                 ///< Now.
-    std::vector<run_end> finished_;                ///< Not forgotten.
-    std::map<task_key, std::uint32_t> superseded_; ///< Runs up to it, by task.
-    std::vector<pending_poll> pending_polls_;      ///< For an end.
-    std::vector<open_call> calls_;                 ///< Not answered.
+    simulated_time& time_;
+    run_checks& checks_;
+    std::size_t number_;       ///< Number of the server.
+    bool checks_capacity_;     ///< Whether it refuses runs beyond its capacity.
+    simulated_node node_;      ///< Server process.
+    std::string id_;           ///< Id of the incarnation.
+    std::int64_t born_ms_ = 0; ///< Birth time of the incarnation.
+    instant clock_origin_{};   ///< Zero of its clock.
+    std::uint64_t incarnations_ = 0; ///< Number of incarnations so far.
+    std::uint64_t token_ = 0;        ///< Highest fencing token received.
+    std::int64_t hold_until_ms_ = 0; ///< End of the hold, by its clock.
+    std::uint64_t ends_ = 0;         ///< Number of the last end.
+    std::uint64_t confirmed_ = 0;    ///< Number of the last confirmed end.
+    std::uint64_t last_local_id_ = 0;
+    std::uint64_t last_poll_number_ = 0;
+    std::list<run_state> running_;  ///< Current runs.
+    std::vector<run_end> finished_; ///< Unconfirmed ends.
+    /// Highest run that may not start any more, by task.
+    std::map<task_key, std::uint32_t> superseded_;
+    std::vector<pending_poll> pending_polls_; ///< Polls that wait for an end.
+    std::vector<open_call> calls_;            ///< Unanswered calls.
 };
 
-/// The calls of one process of an agent.
+/// Backend server client of one agent process.
 class simulated_server_port final : public backend_server_client
 {
 public:
-    /// @param time Outlives it.
-    /// @param server Outlives it.
-    /// @param caller The agent's; outlives it.
+    /// All arguments must outlive the client.
+    /// @param caller Agent process.
     simulated_server_port(simulated_time& time, simulated_server& server,
                           simulated_node& caller)
         : time_(time), server_(server), caller_(caller)
@@ -166,9 +168,9 @@
     void call(duration timeout, std::function<void(Result)> done, Call serve,
               Result unreachable_answer);
 
-    simulated_time& time_;     ///< Of the simulation.
-    simulated_server& server_; ///< Called.
-    simulated_node& caller_;   ///< The agent's process.
+    simulated_time& time_;
+    simulated_server& server_;
+    simulated_node& caller_; ///< Agent process.
 };
 
 } // namespace glenhollow
--- a/tests/schedule/simulated_world.cpp
+++ b/tests/schedule/simulated_world.cpp
@@ -27,8 +27,7 @@
 
 } // namespace
 
-/// A runner: ends tasks after some time, refuses some, breaks off some. It
-/// goes on when its agent dies.
+/// A runner that executes, refuses or breaks off tasks. It survives its agent.
 class simulated_world::sim_runner final : public runner_client
 {
 public:
@@ -41,7 +40,8 @@
 
     void probe(std::function<void(bool)> done) override { done(true); }
 
-    bool dead = false; ///< Its agent is gone; nobody is told any more.
+    /// Whether its agent has ended; results are dropped then.
+    bool dead = false;
 
 private:
     void finish(handler done, verdict what, reason why, std::string body)
@@ -55,24 +55,28 @@
             });
     }
 
-    simulated_world& world_; ///< Has the time and the dice.
-    sim_agent& agent_;       ///< Beside it.
+    simulated_world& world_;
+    sim_agent& agent_;
 };
 
-/// An agent with a clock of its own.
+/// An agent with its own clock.
 struct simulated_world::sim_agent
 {
-    std::size_t number = 0;                               ///< Which.
-    std::uint64_t incarnation = 1;                        ///< Of this start.
-    manual_clock clock;                                   ///< Its own.
-    std::unique_ptr<sim_runner> runner;                   ///< Of this start.
-    std::unique_ptr<task_executor> executor;              ///< Of this start.
-    std::vector<std::unique_ptr<sim_runner>> old_runners; ///< Still run.
-    std::vector<std::unique_ptr<task_executor>> old_executors; ///< Gone.
-    std::map<std::uint64_t, std::uint64_t> sessions; ///< Newest generation.
-    std::map<std::uint64_t, instant> heard;          ///< By incarnation.
-    std::set<std::uint64_t> fenced; ///< Incarnations, this start.
-    instant paused_until{};         ///< On the world's clock.
+    std::size_t number = 0;        ///< Number of the agent.
+    std::uint64_t incarnation = 1; ///< Incarnation of the current process.
+    manual_clock clock;
+    std::unique_ptr<sim_runner> runner;
+    std::unique_ptr<task_executor> executor;
+    /// Runners of ended processes.
+    std::vector<std::unique_ptr<sim_runner>> old_runners;
+    /// Executors of ended processes.
+    std::vector<std::unique_ptr<task_executor>> old_executors;
+    /// Newest link generation, by entry incarnation.
+    std::map<std::uint64_t, std::uint64_t> sessions;
+    /// Last message, by entry incarnation.
+    std::map<std::uint64_t, instant> heard;
+    std::set<std::uint64_t> fenced; ///< Fenced entry incarnations.
+    instant paused_until{}; ///< End of the pause, by the clock of entries.
 };
 
 void simulated_world::sim_runner::call(runner_request call, handler done)
@@ -85,7 +89,7 @@
     if (world_.chance(world_.settings_.refuse_share))
         return finish(std::move(done), verdict::not_run, reason::runner_refused,
                       "");
-    // A connection that breaks may have carried the task or not.
+    // A broken connection may or may not have delivered the task.
     const bool breaks = world_.chance(world_.settings_.runner_break_share);
     if (!breaks || world_.chance(0.5))
         ++world_.starts_[call.task];
@@ -96,18 +100,19 @@
 /// One link with the semantics of agent_links.
 struct simulated_world::sim_link
 {
-    sim_entry* entry = nullptr;    ///< One end.
-    sim_agent* agent = nullptr;    ///< The other.
-    runner_index index = 0;        ///< At the entry.
-    bool up = false;               ///< Starts can be sent.
-    std::uint64_t generation = 0;  ///< Counts connections.
-    std::uint64_t incarnation = 0; ///< Of the agent, 0 at first.
-    std::map<task_key, outgoing_start> outstanding; ///< Without an end.
-    std::map<task_key, instant> begin_by;           ///< On the agent's clock.
-    instant broken_since{};                         ///< Of the break.
+    sim_entry* entry = nullptr;
+    sim_agent* agent = nullptr;
+    runner_index index = 0;       ///< Index at the entry.
+    bool up = false;              ///< Whether starts can be sent.
+    std::uint64_t generation = 0; ///< Number of the connection.
+    /// Incarnation of the agent; 0 before the first connect.
+    std::uint64_t incarnation = 0;
+    std::map<task_key, outgoing_start> outstanding; ///< Starts without an end.
+    std::map<task_key, instant> begin_by; ///< Latest begin, by the agent clock.
+    instant broken_since{};               ///< Time of the last break.
 };
 
-/// Sends starts over the links of one entry.
+/// Sends starts over the links of an entry.
 class simulated_world::sim_sender final : public start_sender
 {
 public:
@@ -121,33 +126,33 @@
                      const std::vector<task_key>& keys) override;
 
 private:
-    simulated_world& world_; ///< Has the links.
-    sim_entry& entry_;       ///< Whose starts.
+    simulated_world& world_;
+    sim_entry& entry_;
 };
 
 /// An entry incarnation.
 struct simulated_world::sim_entry
 {
-    std::uint64_t incarnation = 0;      ///< Of this start.
-    bool dead = false;                  ///< Killed.
-    instant paused_until{};             ///< On the world's clock.
-    std::unique_ptr<sim_sender> sender; ///< Its links.
-    std::unique_ptr<coordinator> jobs;  ///< Its decisions.
-    std::vector<sim_link*> links;       ///< By runner index.
-    bool wake_scheduled = false;        ///< A tick is on its way.
+    std::uint64_t incarnation = 0;
+    bool dead = false;                  ///< Whether it was killed.
+    instant paused_until{};             ///< End of the pause.
+    std::unique_ptr<sim_sender> sender; ///< Sender of its starts.
+    std::unique_ptr<coordinator> jobs;  ///< Coordinator.
+    std::vector<sim_link*> links;       ///< Links by runner index.
+    bool wake_scheduled = false;        ///< Whether a tick is scheduled.
 };
 
 /// One caller's job.
 struct simulated_world::sim_job
 {
-    std::size_t entry = 0;            ///< Whose id it has.
-    std::uint64_t sequence = 0;       ///< Of its submission.
-    std::string id;                   ///< The same as text.
-    job_request request;              ///< What it asks.
+    std::size_t entry = 0;            ///< Entry that minted its id.
+    std::uint64_t sequence = 0;       ///< Sequence number of its id.
+    std::string id;                   ///< Submission id as text.
+    job_request request;              ///< Submitted request.
     std::vector<std::string> answers; ///< Bodies of all answers.
-    int attempts = 0;                 ///< Sent so often.
-    bool answered = false;            ///< It has a final answer.
-    bool refused = false;             ///< One answer was a refusal.
+    int attempts = 0;                 ///< Number of submissions.
+    bool answered = false;            ///< Whether it has a final answer.
+    bool refused = false;             ///< Whether it was refused.
 };
 
 simulated_world::simulated_world(const schedule_settings& settings)
@@ -157,7 +162,7 @@
     {
         agents_.push_back(std::make_unique<sim_agent>());
         agents_.back()->number = i;
-        // No two clocks agree.
+        // All clocks differ.
         agents_.back()->clock.advance(seconds{100 * (i + 1)});
         restart_agent(*agents_.back());
     }
@@ -232,14 +237,14 @@
     task_executor_settings limits;
     limits.slots = 2;
     limits.max_queued = 2;
-    // Small enough that some schedules fill it.
+    // A small table fills in some schedules.
     limits.table.max_bytes = chance(0.2) ? 1200 : 1U << 20;
     limits.table.record_retention = seconds{40};
     agent.executor =
         std::make_unique<task_executor>(agent.clock, *agent.runner, limits);
 }
 
-/// Runs work of an entry once it is not paused, never when it is dead.
+/// Runs work of an entry after its pause, or never if it is dead.
 void simulated_world::run_on(sim_entry& entry,
                              const std::function<void()>& work)
 {
@@ -374,8 +379,8 @@
         link.agent->executor->table().acknowledge(entry_.incarnation, key);
 }
 
-/// Brings a start to the agent: late, twice, or with the link breaking before
-/// or after it arrived.
+/// Delivers a start to the agent: late, twice, or with a link that breaks
+/// before or after the delivery.
 void simulated_world::deliver(sim_link& link, std::uint64_t generation,
                               const outgoing_start& start)
 {
@@ -406,7 +411,7 @@
             end.run_micros = 1000;
             answer(link, generation, std::move(end));
         };
-        // As the agent's service: a copy over a replaced link must not run.
+        // As in the agent, a copy over a replaced link must not run.
         if (agent.sessions[incarnation] != generation)
         {
             start_record stale;
@@ -435,8 +440,8 @@
            });
     };
     later(random_duration(message_time));
-    // What sits in the buffer of a connection that was replaced comes late; a
-    // connection that lives delivers each start once.
+    // A replaced connection may deliver buffered starts late; a live connection
+    // delivers each start once.
     if (!chance(settings_.link_break_share))
         return;
     at(random_duration(seconds{2}),
@@ -458,7 +463,7 @@
            run_on(*link.entry,
                   [this, &link, generation, end]
                   {
-                      // An answer over an old connection never arrives.
+                      // Answers over an old connection are lost.
                       if (link.generation != generation || !link.up ||
                           link.outstanding.erase(end.key) == 0)
                           return;
@@ -507,7 +512,7 @@
                owner.jobs->submit(job.sequence, job.request, std::nullopt,
                                   [this, &job, &owner](const job_answer& got)
                                   {
-                                      // A dead entry's answer reaches nobody.
+                                      // Answers of a dead entry are lost.
                                       if (!owner.dead)
                                           record_answer(job, got);
                                   });
@@ -529,7 +534,7 @@
     }
     if (job.attempts >= caller_attempts)
         return;
-    // A caller without an answer asks again, often somewhere else.
+    // A caller without an answer resubmits, often to another entry.
     const auto next = chance(0.4) ? job.entry : random_() % settings_.entries;
     at(caller_retry_delay + random_duration(caller_retry_delay),
        [this, &job, next]
@@ -557,7 +562,7 @@
     adopt(job, owner);
 }
 
-/// Fences an incarnation at all agents, unless one has heard from it lately.
+/// Fences an incarnation at all agents, unless one heard from it recently.
 void simulated_world::adopt(sim_job& job, sim_entry& dead)
 {
     for (const auto& agent : agents_)
@@ -566,7 +571,7 @@
         const bool heard_recently = heard != agent->heard.end() &&
                                     clock_.now() - heard->second < heard_within;
         const bool paused = agent->paused_until > clock_.now();
-        // Tasks that still run are waited for; the caller asks again.
+        // Waits for running tasks; the caller resubmits.
         bool runs = false;
         const auto& table = agent->executor->table();
         for (const auto& key : table.keys_of(dead.incarnation))
@@ -690,7 +695,7 @@
         outcome_.complete += complete ? 1 : 0;
         outcome_.failed += !complete && !job->answers.empty() ? 1 : 0;
         outcome_.refused += job->answers.empty() && job->refused ? 1 : 0;
-        // A job whose refusals are all it got must not have run.
+        // A job that was only refused must not have run.
         if (job->answers.empty() && job->refused && started > 0 &&
             !entries_[job->entry]->dead)
             report_violation(job->id + " was only refused but ran");
--- a/tests/schedule/simulated_world.hpp
+++ b/tests/schedule/simulated_world.hpp
@@ -17,43 +17,46 @@
 namespace glenhollow
 {
 
-/// How rough a schedule is; all drawn from its seed.
+/// Size and fault rates of a schedule.
 struct schedule_settings
 {
-    std::uint64_t seed = 1;           ///< Of everything.
-    std::size_t entries = 3;          ///< How many.
-    std::size_t agents = 4;           ///< How many.
-    std::size_t jobs = 12;            ///< How many callers have.
-    double link_break_share = 0.05;   ///< Messages that break their link.
-    double refuse_share = 0.05;       ///< Tasks that runners refuse.
-    double runner_break_share = 0.03; ///< Tasks whose runner connection breaks.
-    std::size_t deaths = 2;           ///< Entries and agents killed.
-    std::size_t pauses = 2; ///< Entries and agents paused for a while.
+    std::uint64_t seed = 1;  ///< Seed of the random engine.
+    std::size_t entries = 3; ///< Number of entries.
+    std::size_t agents = 4;  ///< Number of agents.
+    std::size_t jobs = 12;   ///< Number of jobs.
+    /// Share of messages that break their link.
+    double link_break_share = 0.05;
+    double refuse_share = 0.05; ///< Share of tasks that runners refuse.
+    /// Share of tasks whose runner connection breaks.
+    double runner_break_share = 0.03;
+    std::size_t deaths = 2; ///< Number of killed entries and agents.
+    std::size_t pauses = 2; ///< Number of paused entries and agents.
 };
 
-/// What a schedule came to.
+/// Result of one schedule.
 struct schedule_outcome
 {
-    std::vector<std::string> violations; ///< Promises that broke, in words.
-    std::size_t complete = 0;            ///< Jobs answered whole.
-    std::size_t failed = 0;              ///< Jobs marked failed.
-    std::size_t refused = 0;             ///< Jobs only refused.
-    std::size_t adoptions = 0;           ///< Incarnations adopted.
-    std::size_t resent_starts = 0;       ///< Starts sent again after a break.
+    /// Descriptions of violated guarantees.
+    std::vector<std::string> violations;
+    std::size_t complete = 0;      ///< Jobs with a complete answer.
+    std::size_t failed = 0;        ///< Jobs marked failed.
+    std::size_t refused = 0;       ///< Jobs that were only refused.
+    std::size_t adoptions = 0;     ///< Adopted incarnations.
+    std::size_t resent_starts = 0; ///< Starts resent after a broken link.
 };
 
-/// Drives real coordinators, executors and adopted answers over fake links,
-/// runners and callers through one seeded schedule of delay, loss,
-/// duplication, pause, death and resubmission.
+/// Plays one seeded schedule of delays, losses, duplicates, pauses, crashes and
+/// resubmissions against real coordinators, executors and adopted answers, over
+/// simulated links, runners and callers.
 class simulated_world final
 {
 public:
-    /// @param settings How rough it is.
+    /// @param settings Size and fault rates.
     explicit simulated_world(const schedule_settings& settings);
     ~simulated_world();
 
-    /// Plays the schedule to its end and checks the promises.
-    /// @return What it came to.
+    /// Plays the schedule to its end and checks the guarantees.
+    /// @return Its result.
     schedule_outcome play();
 
 private:
@@ -88,18 +91,21 @@
     void record_answer(sim_job& job, const job_answer& answer);
     void check();
 
-    schedule_settings settings_;                           ///< How rough it is.
-    random_engine random_;                                 ///< Of everything.
-    manual_clock clock_;                                   ///< Of all entries.
-    std::multimap<instant, std::function<void()>> events_; ///< By time.
-    std::vector<std::unique_ptr<sim_entry>> entries_;      ///< Dead ones too.
-    std::vector<std::unique_ptr<sim_agent>> agents_;       ///< By place.
-    std::vector<std::unique_ptr<sim_link>> links_;         ///< Entry by agent.
-    std::vector<std::unique_ptr<sim_job>> jobs_;           ///< Of all callers.
-    std::map<std::string, int> starts_; ///< As runners count.
-    std::map<std::uint64_t, std::unique_ptr<adopted_answers>>
-        adopted_;              ///< By incarnation.
-    schedule_outcome outcome_; ///< So far.
+    schedule_settings settings_;
+    random_engine random_;
+    manual_clock clock_; ///< Clock of all entries.
+    /// Pending events by time.
+    std::multimap<instant, std::function<void()>> events_;
+    /// Entries, dead ones included.
+    std::vector<std::unique_ptr<sim_entry>> entries_;
+    std::vector<std::unique_ptr<sim_agent>> agents_; ///< Agents by number.
+    /// Links of all entries to all agents.
+    std::vector<std::unique_ptr<sim_link>> links_;
+    std::vector<std::unique_ptr<sim_job>> jobs_;
+    std::map<std::string, int> starts_; ///< Starts at runners, by task.
+    /// Adopted answers, by incarnation.
+    std::map<std::uint64_t, std::unique_ptr<adopted_answers>> adopted_;
+    schedule_outcome outcome_; ///< Result so far.
 };
 
 } // namespace glenhollow
--- a/tests/schedule/trace_log.cpp
+++ b/tests/schedule/trace_log.cpp
@@ -26,7 +26,7 @@
 
     void consume(const logging::record_view&, const std::string& line)
     {
-        // The time of day, the level and the program say nothing here.
+        // Omits the time of day, the level and the program.
         const auto event = line.find("event=");
         time_.trace(
             [&]
@@ -38,7 +38,7 @@
     }
 
 private:
-    simulated_time& time_; ///< Of the simulation.
+    simulated_time& time_;
 };
 
 using trace_sink = logging::sinks::synchronous_sink<trace_backend>;
@@ -47,7 +47,7 @@
 
 struct trace_log::sink
 {
-    boost::shared_ptr<trace_sink> front; ///< As the library knows it.
+    boost::shared_ptr<trace_sink> front;
 };
 
 trace_log::trace_log(simulated_time& time) : sink_(std::make_unique<sink>())
@@ -56,7 +56,7 @@
         boost::make_shared<trace_sink>(boost::make_shared<trace_backend>(time));
     sink_->front->set_formatter(logging::expressions::stream
                                 << logging::expressions::smessage);
-    // A line left out by real time would make two plays of a seed differ.
+    // Rate limits by real time would make the trace nondeterministic.
     constexpr double all_lines = 1e9;
     limit_log({all_lines, all_lines});
     logging::core::get()->add_sink(sink_->front);
--- a/tests/schedule/trace_log.hpp
+++ b/tests/schedule/trace_log.hpp
@@ -8,18 +8,18 @@
 namespace glenhollow
 {
 
-/// Writes what the parts of the product log into the order of events of a
-/// simulation, each line with the process that it is of. One at a time.
+/// Adds the log lines of the product to the trace of a simulation, each with
+/// the process that logged it. At most one instance may exist.
 class trace_log final
 {
 public:
-    /// @param time Outlives it.
+    /// @param time Must outlive the log.
     explicit trace_log(simulated_time& time);
     ~trace_log();
 
 private:
     struct sink;
-    std::unique_ptr<sink> sink_; ///< Takes the lines.
+    std::unique_ptr<sink> sink_; ///< Log sink.
 };
 
 } // namespace glenhollow
