--- a/programs/durable_agent.cpp
+++ b/programs/durable_agent.cpp
@@ -8,7 +8,7 @@
 #include "glenhollow/runs/server_account_json.hpp"
 #include "glenhollow/telemetry/log.hpp"
 #include "glenhollow/telemetry/stall_watch.hpp"
-#include "platform/runner_registration.hpp"
+#include "platform/server_registration.hpp"
 
 #include <boost/asio/signal_set.hpp>
 
@@ -262,9 +262,9 @@
     rpc_loop loop_;                                ///< Runs everything.
     boost::asio::signal_set signals_;              ///< Stop and reload.
     platform::http_row_store store_;               ///< The store.
-    platform::http_runner runner_;                 ///< The runner.
+    platform::http_backend_client runner_;         ///< The runner.
     run_manager manager_;                          ///< The product.
-    platform::runner_registration registration_;   ///< Its accounts.
+    platform::server_registration registration_;   ///< Its accounts.
     member_announcer announcer_;                   ///< Its row.
     stall_watch stalls_{{tick_interval}};          ///< Of this process.
     server_account kept_;                          ///< Last in its row's memo.
--- a/programs/durable_entry.cpp
+++ b/programs/durable_entry.cpp
@@ -6,7 +6,7 @@
 #include "glenhollow/rpc/rpc_loop.hpp"
 #include "glenhollow/telemetry/log.hpp"
 #include "platform/catalog_format.hpp"
-#include "platform/client_front.hpp"
+#include "platform/client_request_handler.hpp"
 
 #include <boost/asio/signal_set.hpp>
 
@@ -36,8 +36,8 @@
         : settings_(settings), reload_(std::move(reload)),
           signals_(loop_.io(), SIGTERM, SIGINT, SIGHUP),
           store_(loop_.io(), settings.store),
-          service_(loop_.io(), process_clock(), store_, platform::begin_catalog,
-                   service_settings()),
+          service_(loop_.io(), process_clock(), store_,
+                   platform::make_catalog_reader, service_settings()),
           early_(
               process_clock(),
               [&io = loop_.io()](duration wait, std::function<void()> work)
@@ -118,7 +118,7 @@
         out.cancellation.cache.retention = seconds{settings_.cancel_memory_s};
         out.cpu_cores = settings_.cpu_share * settings_.cores;
         out.dispatch.far_factor = settings_.far_factor;
-        out.catalog = platform::operator_configuration();
+        out.catalog = platform::operator_catalog_location();
         out.handover = settings_.handover;
         return out;
     }
@@ -247,7 +247,7 @@
     platform::http_row_store store_;                   ///< The store.
     durable_service service_;                          ///< The product.
     platform::early_requests early_;                   ///< At the start.
-    platform::client_front front_;                     ///< Clients' side.
+    platform::client_request_handler front_;           ///< Clients' side.
     std::shared_ptr<intake_limits> intake_;            ///< Of callers.
     std::unique_ptr<rpc_listener> links_;              ///< Other entries.
     std::unique_ptr<http_server> callers_;             ///< Clients.
--- a/standins/backend.cpp
+++ b/standins/backend.cpp
@@ -6,7 +6,7 @@
 #include "glenhollow/core/run_after.hpp"
 #include "glenhollow/http/client.hpp"
 #include "glenhollow/http/server.hpp"
-#include "platform/body.hpp"
+#include "platform/json_body.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -29,24 +29,24 @@
 {
 
 /// Ends that one answer holds at most, by the platform's rules.
-constexpr std::size_t ends_a_page = 500;
+constexpr std::size_t max_ends_per_answer = 500;
 /// How often waits for ends are looked at.
 constexpr duration tick_interval = milliseconds{10};
 /// A stop takes so long.
 constexpr duration stop_time = milliseconds{50};
 /// Longest time by which a late order comes later.
-constexpr double late_ms = 4000;
+constexpr double max_order_delay_ms = 4000;
 /// After the acknowledgement that it leaves, starts are in order so long.
 constexpr duration drain_time = seconds{2};
 /// Between heartbeats.
-constexpr duration beat_interval = milliseconds{500};
+constexpr duration heartbeat_interval = milliseconds{500};
 /// Between a planned end and the next life.
-constexpr duration away_time = milliseconds{300};
+constexpr duration restart_delay = milliseconds{300};
 /// Work of a task whose spec names none.
-constexpr duration usual_work = milliseconds{50};
+constexpr duration default_work = milliseconds{50};
 
 /// One run, from its start on; kept for good.
-struct kept_run
+struct run_record
 {
     std::string task;                ///< Its name.
     std::uint64_t run = 0;           ///< Its number.
@@ -85,7 +85,7 @@
 };
 
 /// A look that waits for an end.
-struct waiting_look
+struct pending_poll
 {
     instant until{};     ///< Answers by then.
     http_responder done; ///< Takes the answer.
@@ -116,7 +116,7 @@
           origin_(process_clock().now()),
           agent_(http_client::create(io, client_settings(settings)))
     {
-        begin_life(false);
+        begin_incarnation(false);
     }
 
     /// @param server Whose connections end with each life.
@@ -124,14 +124,14 @@
     {
         server_ = &server;
         port_ = server.port();
-        beat_again();
+        schedule_heartbeat();
         tick();
     }
 
     void handle(const http_request& request, const http_responder& done)
     {
         if (request.target == "/fault")
-            return done(set_faults(object_of(request.body)));
+            return done(set_faults(parse_object(request.body)));
         if (request.target == "/record")
             return done(record());
         if (faults_.delay_ms <= 0)
@@ -141,7 +141,7 @@
                   {
                       // Its connection has ended with the life it came to.
                       if (life != born_ms_)
-                          return silent_.push_back(done);
+                          return unanswered_.push_back(done);
                       serve(request, done);
                   });
     }
@@ -157,63 +157,63 @@
         return out;
     }
 
-    bool drawn(double share) { return share > 0 && uniform(random_) < share; }
+    bool chance(double share) { return share > 0 && uniform(random_) < share; }
 
     /// @param same_id Whether the id is the last life's.
-    void begin_life(bool same_id)
+    void begin_incarnation(bool same_id)
     {
         if (!same_id)
-            life_ = settings_.name + "-" + std::to_string(++lives_);
-        constexpr std::int64_t nanoseconds_a_ms = 1'000'000;
+            instance_ = settings_.name + "-" + std::to_string(++instances_);
+        constexpr std::int64_t nanoseconds_per_ms = 1'000'000;
         born_ms_ =
-            std::max(born_ms_ + 1, wall_nanoseconds() / nanoseconds_a_ms);
+            std::max(born_ms_ + 1, wall_nanoseconds() / nanoseconds_per_ms);
         origin_ = process_clock().now();
-        away_ = false;
-        leave_acked_ = beat_acked_ = {};
-        fence_ = 0;
+        restarting_ = false;
+        drain_acknowledged_ = heartbeat_acknowledged_ = {};
+        fencing_token_ = 0;
         deadline_ms_ = 0;
         ends_ = 0;
         confirmed_ = 0;
         sequence_ = 0;
         listed_.clear();
-        barred_.clear();
+        highest_ended_run_.clear();
     }
 
     /// Everything running dies, and nobody is told.
-    void die()
+    void crash()
     {
         const auto now = process_clock().now();
-        settle(now);
+        end_due_runs(now);
         for (const auto at : running_)
         {
             runs_[at].end = now;
             runs_[at].how = "crashed";
         }
         running_.clear();
-        for (auto& look : looks_)
-            silent_.push_back(std::move(look.done));
-        looks_.clear();
+        for (auto& poll : pending_polls_)
+            unanswered_.push_back(std::move(poll.done));
+        pending_polls_.clear();
         // What is held back on its way to this life must not reach the next:
         // connections end with their process.
         server_->close_idle();
     }
 
-    bool is_down() const { return faults_.ended || away_; }
+    bool is_down() const { return faults_.ended || restarting_; }
 
     /// A planned end; the next life has the same id.
     void sign_off()
     {
-        agent_->send({"DELETE", "/instances/" + life_, {}, {}, {}},
+        agent_->send({"DELETE", "/instances/" + instance_, {}, {}, {}},
                      [](const http_result&) {});
-        die();
-        away_ = true;
-        run_after(io_, away_time, [this] { live_again(); });
+        crash();
+        restarting_ = true;
+        run_after(io_, restart_delay, [this] { restart(); });
     }
 
-    void live_again()
+    void restart()
     {
-        begin_life(true);
-        beat();
+        begin_incarnation(true);
+        send_heartbeat();
     }
 
     /// @return This server's clock, ms; slower than true by a share.
@@ -234,7 +234,7 @@
     }
 
     /// Ends what was due by now, each at its own time.
-    void settle(instant now)
+    void end_due_runs(instant now)
     {
         const bool lapses = deadline_ms_ != 0 && deadline() <= now;
         const auto until = lapses ? deadline() : now;
@@ -275,22 +275,23 @@
         run.how = std::move(how);
         run.number = ++ends_;
         listed_.push_back(at);
-        auto& barred = barred_[run.task];
-        barred = std::max(barred, run.run);
-        if (drawn(faults_.twice))
+        auto& highest_ended = highest_ended_run_[run.task];
+        highest_ended = std::max(highest_ended, run.run);
+        if (chance(faults_.twice))
             add_run(run.task, run.run + 1, run.spec, when);
     }
 
     void serve(const http_request& request, const http_responder& done)
     {
         if (is_down())
-            return silent_.push_back(done);
+            return unanswered_.push_back(done);
         const bool is_order = request.target != "/hold";
-        if (is_order && drawn(faults_.late))
+        if (is_order && chance(faults_.late))
         {
             // The caller's connection says nothing more.
-            silent_.push_back(done);
-            const auto wait = static_cast<long>(late_ms * uniform(random_));
+            unanswered_.push_back(done);
+            const auto wait =
+                static_cast<long>(max_order_delay_ms * uniform(random_));
             return run_after(io_, milliseconds{wait},
                              [this, request, life = born_ms_]
                              {
@@ -299,9 +300,9 @@
                                          request, [](const auto&) {}, true);
                              });
         }
-        const bool lost = drawn(faults_.lose_answers);
+        const bool lost = chance(faults_.lose_answers);
         if (lost)
-            silent_.push_back(done);
+            unanswered_.push_back(done);
         dispatch(request, lost ? [](const http_response&) {} : done);
     }
 
@@ -310,71 +311,73 @@
                   bool late = false)
     {
         const auto now = process_clock().now();
-        settle(now);
+        end_due_runs(now);
         const auto meant =
             header_value(request.headers, "Glenhollow-Expect-Instance");
-        if (!meant.empty() && meant != life_)
+        if (!meant.empty() && meant != instance_)
             return done(answer(421));
-        const auto body = object_of(request.body);
-        const auto fence = number_of(body, "fencing_token");
-        if (fence < fence_)
+        const auto body = parse_object(request.body);
+        const auto fence = unsigned_field(body, "fencing_token");
+        if (fence < fencing_token_)
             return done(refusal("fence"));
         if (request.target == "/run-start")
             return done(start(body, now, late));
-        fence_ = fence;
+        fencing_token_ = fence;
         if (request.target == "/run-stop")
             return done(stop(body, now));
         if (request.target == "/hold")
-            return look(body, now, done);
+            return poll(body, now, done);
         done(answer(404));
     }
 
     http_response start(const json::object& body, instant now, bool late)
     {
-        if (drawn(faults_.refuse))
+        if (chance(faults_.refuse))
             return answer(503);
-        fence_ = number_of(body, "fencing_token");
-        const auto task = text_of(body, "task");
-        const auto run = number_of(body, "run");
+        fencing_token_ = unsigned_field(body, "fencing_token");
+        const auto task = string_field(body, "task");
+        const auto run = unsigned_field(body, "run");
         if (task.empty() || run == 0)
             return answer(400);
         const auto until =
-            static_cast<std::int64_t>(number_of(body, "deadline_ms"));
+            static_cast<std::int64_t>(unsigned_field(body, "deadline_ms"));
         if (until <= clock_ms(now))
             return refusal("late");
-        lengthen(until, now);
+        extend_lease(until, now);
         for (const auto at : running_)
         {
             if (runs_[at].task == task && runs_[at].run == run)
                 return answer(200);
         }
-        const auto barred = barred_.find(task);
-        if (barred != barred_.end() && run <= barred->second)
+        const auto highest_ended = highest_ended_run_.find(task);
+        if (highest_ended != highest_ended_run_.end() &&
+            run <= highest_ended->second)
             return refusal("old");
-        add_run(task, run, text_of(body, "spec"), now);
-        runs_.back().left = !late && has_left(now);
+        add_run(task, run, string_field(body, "spec"), now);
+        runs_.back().left = !late && past_drain_time(now);
         runs_.back().late = late;
         return answer(200);
     }
 
     /// An agent that has just answered a heartbeat knows that it leaves.
-    bool has_left(instant now) const
+    bool past_drain_time(instant now) const
     {
-        return leave_acked_ != instant{} && now > leave_acked_ + drain_time &&
-               now < beat_acked_ + beat_interval;
+        return drain_acknowledged_ != instant{} &&
+               now > drain_acknowledged_ + drain_time &&
+               now < heartbeat_acknowledged_ + heartbeat_interval;
     }
 
     void add_run(const std::string& task, std::uint64_t run,
                  const std::string& spec, instant now)
     {
-        kept_run added;
+        run_record added;
         added.task = task;
         added.run = run;
         added.spec = spec;
-        added.life = life_;
+        added.life = instance_;
         added.begin = now;
         added.finish = now + work_of(spec);
-        added.fails = drawn(faults_.fail);
+        added.fails = chance(faults_.fail);
         running_.push_back(runs_.size());
         runs_.push_back(std::move(added));
     }
@@ -384,13 +387,13 @@
     {
         constexpr std::string_view field = "work_ms=";
         if (!spec.starts_with(field))
-            return usual_work;
+            return default_work;
         return milliseconds{
             std::strtol(spec.c_str() + field.size(), nullptr, 10)};
     }
 
     /// A lease never becomes shorter, nor longer than its most.
-    void lengthen(std::int64_t until, instant now)
+    void extend_lease(std::int64_t until, instant now)
     {
         const auto most =
             clock_ms(now) + static_cast<std::int64_t>(settings_.hold_ms);
@@ -399,25 +402,25 @@
 
     http_response stop(const json::object& body, instant now)
     {
-        const auto task = text_of(body, "task");
-        const auto run = number_of(body, "run");
+        const auto task = string_field(body, "task");
+        const auto run = unsigned_field(body, "run");
         for (const auto at : running_)
         {
             if (runs_[at].task == task && runs_[at].run == run)
                 runs_[at].stop = std::min(runs_[at].stop, now + stop_time);
         }
-        auto& barred = barred_[task];
-        barred = std::max(barred, run);
+        auto& highest_ended = highest_ended_run_[task];
+        highest_ended = std::max(highest_ended, run);
         return answer(200);
     }
 
-    void look(const json::object& body, instant now, const http_responder& done)
+    void poll(const json::object& body, instant now, const http_responder& done)
     {
         const auto until =
-            static_cast<std::int64_t>(number_of(body, "deadline_ms"));
+            static_cast<std::int64_t>(unsigned_field(body, "deadline_ms"));
         if (until > clock_ms(now))
-            lengthen(until, now);
-        confirmed_ = std::max(confirmed_, number_of(body, "last_seen"));
+            extend_lease(until, now);
+        confirmed_ = std::max(confirmed_, unsigned_field(body, "last_seen"));
         std::erase_if(listed_,
                       [&](std::size_t at)
                       {
@@ -427,10 +430,10 @@
                           return true;
                       });
         const milliseconds wait{
-            static_cast<std::int64_t>(number_of(body, "wait_ms"))};
+            static_cast<std::int64_t>(unsigned_field(body, "wait_ms"))};
         if (!listed_.empty() || wait.count() == 0)
             return done(lists(now));
-        looks_.push_back({now + wait, done});
+        pending_polls_.push_back({now + wait, done});
     }
 
     http_response lists(instant now) const
@@ -449,7 +452,7 @@
         for (const auto at : listed_)
         {
             const auto& run = runs_[at];
-            if (finished.size() < ends_a_page)
+            if (finished.size() < max_ends_per_answer)
                 finished.emplace_back(
                     json::array{run.number, run.task, run.run, run.how, ""});
         }
@@ -461,41 +464,42 @@
     void tick()
     {
         const auto now = process_clock().now();
-        settle(now);
+        end_due_runs(now);
         const bool ended = !listed_.empty();
-        std::vector<waiting_look> over;
-        std::erase_if(looks_,
-                      [&](waiting_look& look)
+        std::vector<pending_poll> over;
+        std::erase_if(pending_polls_,
+                      [&](pending_poll& poll)
                       {
-                          if (!ended && now < look.until)
+                          if (!ended && now < poll.until)
                               return false;
-                          over.push_back(std::move(look));
+                          over.push_back(std::move(poll));
                           return true;
                       });
-        for (const auto& look : over)
-            look.done(lists(now));
+        for (const auto& poll : over)
+            poll.done(lists(now));
         run_after(io_, tick_interval, [this] { tick(); });
     }
 
-    void beat_again()
+    void schedule_heartbeat()
     {
         if (!is_down())
-            beat();
-        if (drawn(faults_.stranger))
-            write_as_stranger();
-        run_after(io_, beat_interval, [this] { beat_again(); });
+            send_heartbeat();
+        if (chance(faults_.stranger))
+            send_foreign_heartbeat();
+        run_after(io_, heartbeat_interval, [this] { schedule_heartbeat(); });
     }
 
     /// Another writer at the agent's address, under this server's id or one of
     /// its own.
-    void write_as_stranger()
+    void send_foreign_heartbeat()
     {
         const auto now = process_clock().now();
-        auto account = account_at(now);
+        auto account = heartbeat_at(now);
         account["state"] = "draining";
-        account["sequence"] = sequence_ + strays_;
-        const auto own = drawn(0.5);
-        const auto id = own ? life_ : "stranger-" + std::to_string(++strays_);
+        account["sequence"] = sequence_ + foreign_ids_;
+        const auto own = chance(0.5);
+        const auto id =
+            own ? instance_ : "stranger-" + std::to_string(++foreign_ids_);
         std::vector<std::string> unreadable{"", "{", "[]", "\xff\xfe", "null"};
         const auto with = [&account](std::string_view name, json::value value)
         {
@@ -509,16 +513,16 @@
         unreadable.push_back(with("labels", json::object{}));
         unreadable.push_back(with("service", 5));
         unreadable.push_back(with("born", "x"));
-        if (drawn(0.7))
-            return send_stray(id, unreadable[random_() % unreadable.size()],
-                              true);
+        if (chance(0.7))
+            return send_foreign(id, unreadable[random_() % unreadable.size()],
+                                true);
         // Well formed: of a stranger, or of a life that has ended.
         account["born"] = born_ms_ - 1000;
-        send_stray(id, json::serialize(account), false);
+        send_foreign(id, json::serialize(account), false);
     }
 
     /// @param unreadable Whether it must not be answered 2xx.
-    void send_stray(const std::string& id, std::string body, bool unreadable)
+    void send_foreign(const std::string& id, std::string body, bool unreadable)
     {
         agent_->send({"PUT",
                       "/instances/" + id,
@@ -529,12 +533,12 @@
                      {
                          const bool taken =
                              got.answered && got.response.status / 100 == 2;
-                         misread_ += taken && unreadable ? 1 : 0;
+                         unreadable_accepted_ += taken && unreadable ? 1 : 0;
                      });
     }
 
     /// @return This server's account of itself, without its number.
-    json::object account_at(instant now) const
+    json::object heartbeat_at(instant now) const
     {
         return {{"service", settings_.service},
                 {"address", settings_.address + ":" + std::to_string(port_)},
@@ -552,13 +556,13 @@
                 {"clock_ms", clock_ms(now)}};
     }
 
-    void beat()
+    void send_heartbeat()
     {
         const auto now = process_clock().now();
-        auto account = account_at(now);
+        auto account = heartbeat_at(now);
         account["sequence"] = ++sequence_;
         agent_->send({"PUT",
-                      "/instances/" + life_,
+                      "/instances/" + instance_,
                       {{"Content-Type", "application/json"}},
                       json::serialize(account),
                       {}},
@@ -566,34 +570,34 @@
                       leaving = faults_.leaving](const http_result& got)
                      {
                          if (got.answered && life == born_ms_)
-                             beat_answered(leaving);
+                             heartbeat_answered(leaving);
                      });
     }
 
-    void beat_answered(bool leaving)
+    void heartbeat_answered(bool leaving)
     {
-        beat_acked_ = process_clock().now();
+        heartbeat_acknowledged_ = process_clock().now();
         if (!leaving)
-            leave_acked_ = {};
-        else if (leave_acked_ == instant{})
-            leave_acked_ = beat_acked_;
+            drain_acknowledged_ = {};
+        else if (drain_acknowledged_ == instant{})
+            drain_acknowledged_ = heartbeat_acknowledged_;
     }
 
     http_response set_faults(const json::object& given)
     {
-        faults_.delay_ms = real_of(given, "delay_ms", 0);
-        faults_.refuse = real_of(given, "refuse", 0);
-        faults_.fail = real_of(given, "fail", 0);
-        faults_.lose_answers = real_of(given, "lose_answers", 0);
-        faults_.late = real_of(given, "late", 0);
-        faults_.twice = real_of(given, "twice", 0);
-        faults_.stranger = real_of(given, "stranger", 0);
-        if (flag_of(given, "crash"))
+        faults_.delay_ms = double_field(given, "delay_ms", 0);
+        faults_.refuse = double_field(given, "refuse", 0);
+        faults_.fail = double_field(given, "fail", 0);
+        faults_.lose_answers = double_field(given, "lose_answers", 0);
+        faults_.late = double_field(given, "late", 0);
+        faults_.twice = double_field(given, "twice", 0);
+        faults_.stranger = double_field(given, "stranger", 0);
+        if (bool_field(given, "crash"))
         {
-            die();
-            begin_life(false);
+            crash();
+            begin_incarnation(false);
         }
-        set_presence(flag_of(given, "ended"), flag_of(given, "leaving"));
+        set_presence(bool_field(given, "ended"), bool_field(given, "leaving"));
         return answer(200);
     }
 
@@ -606,19 +610,19 @@
         faults_.ended = ended;
         faults_.leaving = leaving;
         if (ends)
-            die();
-        if (returns && !away_)
-            live_again();
+            crash();
+        if (returns && !restarting_)
+            restart();
         else if (left && !is_down())
             sign_off();
         else if (leaves && !is_down())
-            beat();
+            send_heartbeat();
     }
 
     /// All runs so far; times in ns of this machine's clock.
     http_response record()
     {
-        settle(process_clock().now());
+        end_due_runs(process_clock().now());
         json::array list;
         for (const auto& run : runs_)
         {
@@ -638,7 +642,7 @@
         return {200,
                 "application/json",
                 {},
-                json::serialize(json::object{{"misread", misread_},
+                json::serialize(json::object{{"misread", unreadable_accepted_},
                                              {"runs", std::move(list)}})};
     }
 
@@ -653,33 +657,34 @@
         return answer(409, {{"reason", reason}});
     }
 
-    asio::io_context& io_;               ///< Runs the timers.
-    backend_settings settings_;          ///< Checked.
-    random_engine random_;               ///< Draws the faults.
-    instant origin_;                     ///< When its clock showed 1,000 ms.
-    std::unique_ptr<http_client> agent_; ///< Where it registers.
-    backend_faults faults_;              ///< What goes wrong now.
-    http_server* server_ = nullptr;      ///< Its own.
-    std::uint16_t port_ = 0;             ///< Of that.
-    std::uint64_t lives_ = 0;            ///< So far.
-    std::string life_;                   ///< Id of this life.
-    std::int64_t born_ms_ = 0;           ///< Its start, Unix ms.
-    bool away_ = false;                  ///< Between two lives.
-    instant leave_acked_{};              ///< First, of leaving; 0: not.
-    instant beat_acked_{};               ///< Last, of any heartbeat.
-    std::uint64_t fence_ = 0;            ///< Highest token seen.
-    std::int64_t deadline_ms_ = 0;       ///< Of its lease; 0: none.
-    std::uint64_t ends_ = 0;             ///< Listed in this life.
-    std::uint64_t confirmed_ = 0;        ///< Ends taken note of.
-    std::uint64_t sequence_ = 0;         ///< Of its heartbeats.
-    std::uint64_t strays_ = 0;           ///< Ids of another writer so far.
-    std::uint64_t misread_ = 0;          ///< Unreadable ones answered 2xx.
-    std::vector<kept_run> runs_;         ///< All of all lives.
-    std::vector<std::size_t> running_;   ///< Places in runs_.
-    std::vector<std::size_t> listed_;    ///< Ends that are not confirmed.
-    std::map<std::string, std::uint64_t> barred_; ///< Highest run over.
-    std::vector<waiting_look> looks_;             ///< Wait for ends.
-    std::vector<http_responder> silent_;          ///< Never called.
+    asio::io_context& io_;                  ///< Runs the timers.
+    backend_settings settings_;             ///< Checked.
+    random_engine random_;                  ///< Draws the faults.
+    instant origin_;                        ///< When its clock showed 1,000 ms.
+    std::unique_ptr<http_client> agent_;    ///< Where it registers.
+    backend_faults faults_;                 ///< What goes wrong now.
+    http_server* server_ = nullptr;         ///< Its own.
+    std::uint16_t port_ = 0;                ///< Of that.
+    std::uint64_t instances_ = 0;           ///< So far.
+    std::string instance_;                  ///< Id of this life.
+    std::int64_t born_ms_ = 0;              ///< Its start, Unix ms.
+    bool restarting_ = false;               ///< Between two lives.
+    instant drain_acknowledged_{};          ///< First, of leaving; 0: not.
+    instant heartbeat_acknowledged_{};      ///< Last, of any heartbeat.
+    std::uint64_t fencing_token_ = 0;       ///< Highest token seen.
+    std::int64_t deadline_ms_ = 0;          ///< Of its lease; 0: none.
+    std::uint64_t ends_ = 0;                ///< Listed in this life.
+    std::uint64_t confirmed_ = 0;           ///< Ends taken note of.
+    std::uint64_t sequence_ = 0;            ///< Of its heartbeats.
+    std::uint64_t foreign_ids_ = 0;         ///< Ids of another writer so far.
+    std::uint64_t unreadable_accepted_ = 0; ///< Unreadable ones answered 2xx.
+    std::vector<run_record> runs_;          ///< All of all lives.
+    std::vector<std::size_t> running_;      ///< Places in runs_.
+    std::vector<std::size_t> listed_;       ///< Ends that are not confirmed.
+    std::map<std::string, std::uint64_t>
+        highest_ended_run_;                   ///< Highest run over.
+    std::vector<pending_poll> pending_polls_; ///< Wait for ends.
+    std::vector<http_responder> unanswered_;  ///< Never called.
 };
 
 } // namespace
--- a/standins/member_view.cpp
+++ b/standins/member_view.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-result<std::vector<member_view>> member_views_from(const std::string& text)
+result<std::vector<member_view>> parse_member_views(const std::string& text)
 {
     std::vector<member_view> out;
     std::istringstream list(text);
@@ -52,7 +52,7 @@
     return out;
 }
 
-std::string shown_member(const member_view& view, const std::string& value)
+std::string rewritten_member(const member_view& view, const std::string& value)
 {
     boost::system::error_code ec;
     auto row = json::parse(from_base64(value), ec);
--- a/standins/member_view.hpp
+++ b/standins/member_view.hpp
@@ -22,12 +22,12 @@
 
 /// @param text PORT=HOST:LINKS[,PORT=HOST:LINKS...], may be empty.
 /// @return The views, or what is wrong with one of them.
-result<std::vector<member_view>> member_views_from(const std::string& text);
+result<std::vector<member_view>> parse_member_views(const std::string& text);
 
 /// @param view Whose.
 /// @param value Of a row of the table of members, in base64.
 /// @return What the reader is shown; a value of another form as it is.
-std::string shown_member(const member_view& view, const std::string& value);
+std::string rewritten_member(const member_view& view, const std::string& value);
 
 } // namespace glenhollow
 
--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -159,7 +159,7 @@
                                     {"vms", std::move(list)}});
     }
 
-    static json::object row_facts(const std::string& key, const table_row& row)
+    static json::object row_json(const std::string& key, const table_row& row)
     {
         return {{"key", key}, {"value", row.value}, {"version", row.version}};
     }
@@ -169,7 +169,7 @@
         const auto found = table_.find(key);
         if (found == table_.end())
             return text(404, "no such row");
-        return as_json(row_facts(key, found->second));
+        return as_json(row_json(key, found->second));
     }
 
     http_response list_rows(const std::string& prefix) const
@@ -177,7 +177,7 @@
         json::array rows;
         for (auto row = table_.lower_bound(prefix);
              row != table_.end() && row->first.starts_with(prefix); ++row)
-            rows.push_back(row_facts(row->first, row->second));
+            rows.push_back(row_json(row->first, row->second));
         return as_json(json::object{{"rows", std::move(rows)}});
     }
 
--- a/standins/runner.cpp
+++ b/standins/runner.cpp
@@ -61,7 +61,7 @@
 private:
     void run_task(const http_request& request, const http_responder& done)
     {
-        if (drawn(settings_.refuse_share))
+        if (chance(settings_.refuse_share))
             return done({503,
                          "text/plain",
                          {{"Glenhollow-Verdict", "not_run"}},
@@ -80,13 +80,13 @@
             if (const auto* echo = fields.if_contains("echo"))
                 answer["echo"] = *echo;
         }
-        if (drawn(settings_.hang_share))
+        if (chance(settings_.hang_share))
             return hung_.push_back(done);
-        if (drawn(settings_.slow_share))
+        if (chance(settings_.slow_share))
             work_ms *= settings_.slow_factor;
         http_response response{
             200, "application/json", {}, json::serialize(answer)};
-        if (drawn(settings_.fail_share))
+        if (chance(settings_.fail_share))
             response = {500, "text/plain", {}, "failed\n"};
         if (work_ms <= 0)
             return done(std::move(response));
@@ -123,7 +123,7 @@
         return json::serialize(json::object{{"starts", std::move(counts)}});
     }
 
-    bool drawn(double share) { return share > 0 && uniform(random_) < share; }
+    bool chance(double share) { return share > 0 && uniform(random_) < share; }
 
     asio::io_context& io_;                        ///< Runs the timers.
     standin_runner_settings settings_;            ///< Faults among them.
--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -7,7 +7,7 @@
 #include "glenhollow/core/run_after.hpp"
 #include "glenhollow/http/server.hpp"
 #include "member_view.hpp"
-#include "platform/body.hpp"
+#include "platform/json_body.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -33,20 +33,20 @@
 {
 
 /// Rows and parts that one answer holds at most, by the platform's rules.
-constexpr std::size_t rows_a_page = 500;
-constexpr std::size_t parts_a_page = 1000;
+constexpr std::size_t max_rows_per_answer = 500;
+constexpr std::size_t max_parts_per_answer = 1000;
 /// Longest time by which a held back write comes later.
-constexpr double late_ms = 3000;
+constexpr double max_write_delay_ms = 3000;
 /// Table of which each reader may have a view of its own.
 constexpr std::string_view members = "members";
 /// For people and the soak's own calls.
-const member_view plain_view;
+const member_view unchanged_view;
 
 /// Table, part and key.
 using row_name = std::tuple<std::string, std::string, std::string>;
 
 /// One row, or that it is gone.
-struct kept_row
+struct row_state
 {
     std::string value;     ///< As it came, in base64.
     std::uint64_t ver = 0; ///< Of its last change.
@@ -73,13 +73,14 @@
     double late = 0;         ///< Share of writes done later, not answered.
 };
 
-row_name name_of(const json::object& row)
+row_name row_name_of(const json::object& row)
 {
-    return {text_of(row, "table"), text_of(row, "part"), text_of(row, "key")};
+    return {string_field(row, "table"), string_field(row, "part"),
+            string_field(row, "key")};
 }
 
 /// @param view Of the reader; null: the row as it was written.
-json::object facts_of(const row_name& name, const kept_row& row,
+json::object row_json(const row_name& name, const row_state& row,
                       const member_view* view = nullptr)
 {
     json::object out{{"table", std::get<0>(name)},
@@ -90,7 +91,7 @@
         out["gone"] = true;
     else if (view != nullptr && view->links != 0 &&
              std::get<0>(name) == members)
-        out["value"] = shown_member(*view, row.value);
+        out["value"] = rewritten_member(*view, row.value);
     else
         out["value"] = row.value;
     return out;
@@ -130,7 +131,7 @@
                 const http_responder& done)
     {
         if (request.target == "/fault")
-            return done(set_faults(object_of(request.body)));
+            return done(set_faults(parse_object(request.body)));
         if (faults_.delay_ms <= 0)
             return serve(view, request, done);
         run_after(io_, microseconds{static_cast<long>(faults_.delay_ms * 1000)},
@@ -154,27 +155,28 @@
     }
 
 private:
-    bool drawn(double share) { return share > 0 && uniform(random_) < share; }
+    bool chance(double share) { return share > 0 && uniform(random_) < share; }
 
     void serve(const member_view& view, const http_request& request,
                const http_responder& done)
     {
-        if (drawn(faults_.down))
+        if (chance(faults_.down))
             return done(answer({}, 503));
-        if (drawn(faults_.too_many))
+        if (chance(faults_.too_many))
             return done(answer({}, 429));
-        if (request.method == "POST" && drawn(faults_.late))
+        if (request.method == "POST" && chance(faults_.late))
         {
             // The caller's connection says nothing more.
-            silent_.push_back(done);
-            const auto wait = static_cast<long>(late_ms * uniform(random_));
+            unanswered_.push_back(done);
+            const auto wait =
+                static_cast<long>(max_write_delay_ms * uniform(random_));
             return run_after(io_, milliseconds{wait},
                              [this, request]
-                             { transact(object_of(request.body)); });
+                             { transact(parse_object(request.body)); });
         }
-        const bool lost = drawn(faults_.lose_answers);
+        const bool lost = chance(faults_.lose_answers);
         if (lost)
-            silent_.push_back(done);
+            unanswered_.push_back(done);
         dispatch(view, request, lost ? [](const http_response&) {} : done);
     }
 
@@ -189,7 +191,7 @@
             given[one.key] = one.value;
         const std::string path = parsed->path();
         if (path == "/rows-tx" && request.method == "POST")
-            return done(transact(object_of(request.body)));
+            return done(transact(parse_object(request.body)));
         if (path == "/rows-get")
             return done(read(view, given));
         if (path == "/rows-parts")
@@ -205,29 +207,29 @@
         bool holds = true;
         for (const auto& one : objects_of(body, "expected_revision"))
         {
-            const auto name = name_of(one);
+            const auto name = row_name_of(one);
             const auto known = rows_.find(name);
             const auto ver = known == rows_.end() ? 0 : known->second.ver;
-            holds = holds && ver == number_of(one, "ver");
+            holds = holds && ver == unsigned_field(one, "ver");
             current.emplace_back(known == rows_.end()
-                                     ? facts_of(name, {{}, 0, true})
-                                     : facts_of(name, known->second));
+                                     ? row_json(name, {{}, 0, true})
+                                     : row_json(name, known->second));
         }
         if (!holds)
             return answer({{"rows", std::move(current)}, {"ver", ver_}}, 412);
         ++ver_;
         for (const auto& one : objects_of(body, "put"))
-            change(name_of(one), {text_of(one, "value"), ver_, false});
+            change(row_name_of(one), {string_field(one, "value"), ver_, false});
         for (const auto& one : objects_of(body, "remove"))
         {
-            if (rows_.contains(name_of(one)))
-                change(name_of(one), {{}, ver_, true});
+            if (rows_.contains(row_name_of(one)))
+                change(row_name_of(one), {{}, ver_, true});
         }
-        tell_feeds();
+        answer_feeds();
         return answer({{"ver", ver_}, {"now_ms", now_ms()}});
     }
 
-    void change(const row_name& name, const kept_row& row)
+    void change(const row_name& name, const row_state& row)
     {
         if (row.gone)
             rows_.erase(name);
@@ -243,9 +245,9 @@
         const auto& part = given["part"];
         const auto& until = given["target_version"];
         const auto asked = std::strtoull(given["limit"].c_str(), nullptr, 10);
-        const auto limit = asked == 0
-                               ? rows_a_page
-                               : std::min<std::size_t>(asked, rows_a_page);
+        const auto limit =
+            asked == 0 ? max_rows_per_answer
+                       : std::min<std::size_t>(asked, max_rows_per_answer);
         json::array rows;
         bool more = false;
         for (auto row = rows_.lower_bound({table, part, given["from"]});
@@ -258,7 +260,7 @@
             more = rows.size() == limit;
             if (more)
                 break;
-            rows.emplace_back(facts_of(row->first, row->second, &view));
+            rows.emplace_back(row_json(row->first, row->second, &view));
         }
         return answer({{"rows", std::move(rows)},
                        {"more", more},
@@ -278,7 +280,7 @@
         json::array list;
         for (const auto& name : names)
         {
-            if (list.size() < parts_a_page)
+            if (list.size() < max_parts_per_answer)
                 list.emplace_back(name);
         }
         return answer({{"parts", std::move(list)}, {"ver", ver_}});
@@ -290,7 +292,7 @@
     {
         const auto after = std::strtoull(given["after"].c_str(), nullptr, 10);
         const auto wait = std::strtoll(given["wait_ms"].c_str(), nullptr, 10);
-        if (after < forgotten_)
+        if (after < oldest_version_)
             return done(answer({}, 410));
         if (has_changes(given["table"], after) || wait <= 0)
             return done(changes(view, given["table"], after));
@@ -312,19 +314,19 @@
     http_response changes(const member_view& view, const std::string& table,
                           std::uint64_t after) const
     {
-        if (after < forgotten_)
+        if (after < oldest_version_)
             return answer({}, 410);
         json::array rows;
         for (const auto& [name, row] : history_)
         {
             if (row.ver > after && std::get<0>(name) == table)
-                rows.emplace_back(facts_of(name, row, &view));
+                rows.emplace_back(row_json(name, row, &view));
         }
         return answer(
             {{"rows", std::move(rows)}, {"ver", ver_}, {"now_ms", now_ms()}});
     }
 
-    void tell_feeds()
+    void answer_feeds()
     {
         std::erase_if(feeds_,
                       [&](const waiting_feed& feed)
@@ -339,15 +341,15 @@
 
     http_response set_faults(const json::object& given)
     {
-        faults_.delay_ms = real_of(given, "delay_ms", 0);
-        faults_.down = real_of(given, "down", 0);
-        faults_.too_many = real_of(given, "too_many", 0);
-        faults_.lose_answers = real_of(given, "lose_answers", 0);
-        faults_.late = real_of(given, "late", 0);
-        if (flag_of(given, "forget"))
+        faults_.delay_ms = double_field(given, "delay_ms", 0);
+        faults_.down = double_field(given, "down", 0);
+        faults_.too_many = double_field(given, "too_many", 0);
+        faults_.lose_answers = double_field(given, "lose_answers", 0);
+        faults_.late = double_field(given, "late", 0);
+        if (bool_field(given, "forget"))
         {
             history_.clear();
-            forgotten_ = ver_;
+            oldest_version_ = ver_;
         }
         return answer({{"ver", ver_}});
     }
@@ -358,15 +360,15 @@
             .count();
     }
 
-    asio::io_context& io_;              ///< Runs the timers.
-    random_engine random_;              ///< Draws the faults.
-    store_faults faults_;               ///< What goes wrong now.
-    std::map<row_name, kept_row> rows_; ///< All rows.
-    std::vector<std::pair<row_name, kept_row>> history_; ///< All changes.
-    std::uint64_t ver_ = 0;                              ///< The newest.
-    std::uint64_t forgotten_ = 0;        ///< History up to it is gone.
-    std::vector<waiting_feed> feeds_;    ///< Waits for changes.
-    std::vector<http_responder> silent_; ///< Never called.
+    asio::io_context& io_;               ///< Runs the timers.
+    random_engine random_;               ///< Draws the faults.
+    store_faults faults_;                ///< What goes wrong now.
+    std::map<row_name, row_state> rows_; ///< All rows.
+    std::vector<std::pair<row_name, row_state>> history_; ///< All changes.
+    std::uint64_t ver_ = 0;                               ///< The newest.
+    std::uint64_t oldest_version_ = 0;       ///< History up to it is gone.
+    std::vector<waiting_feed> feeds_;        ///< Waits for changes.
+    std::vector<http_responder> unanswered_; ///< Never called.
 };
 
 } // namespace
@@ -388,7 +390,7 @@
               "PORT=HOST:LINKS list: who calls at PORT from HOST is shown the "
               "links of other members at port LINKS");
     parse_or_exit(line, argc, argv);
-    const auto views = member_views_from(views_text);
+    const auto views = parse_member_views(views_text);
     if (!views)
     {
         std::cerr << views.error().text << "\n";
@@ -400,7 +402,7 @@
     auto server = http_server::create(
         io, limits,
         [&](const http_request& request, const http_responder& done)
-        { store.handle(plain_view, request, done); });
+        { store.handle(unchanged_view, request, done); });
     if (!server)
     {
         std::cerr << server.error().text << "\n";
--- a/tests/fuzz/fuzz_targets.cpp
+++ b/tests/fuzz/fuzz_targets.cpp
@@ -6,8 +6,8 @@
 #include "glenhollow/runs/server_account_json.hpp"
 #include "platform/rows_format.hpp"
 #include "platform/run_lists_format.hpp"
-#include "platform/runner_account_format.hpp"
-#include "unit/adapter/front_world.hpp"
+#include "platform/server_heartbeat_format.hpp"
+#include "unit/adapter/client_handler_fixture.hpp"
 
 #include <cstdio>
 #include <cstdlib>
@@ -36,7 +36,7 @@
 
 void account(std::string_view bytes)
 {
-    const auto told = platform::decode_account("server-1", bytes, {});
+    const auto told = platform::decode_heartbeat("server-1", bytes, {});
     platform::decode_sign_off(bytes);
     if (!told)
         return must_be_short(told.error().text());
@@ -54,11 +54,11 @@
 
 void run_lists(std::string_view bytes)
 {
-    const auto told = platform::decode_lists(bytes);
+    const auto told = platform::decode_run_lists(bytes);
     if (!told)
         return must_be_short(told.error().text());
     for (const auto& shown : told.value().running)
-        must(platform::task_from(platform::task_name(shown.run.task)) ==
+        must(platform::parse_task_name(platform::task_name(shown.run.task)) ==
                  shown.run.task,
              "a task's name is read back");
     for (const auto& end : told.value().finished)
@@ -164,7 +164,7 @@
 
 void caller_body(std::string_view bytes)
 {
-    front_world world;
+    client_handler_fixture world;
     world.jobs.queues.max_body_bytes = 1UL << 20;
     const auto got = world.call("POST", job_path, std::string(bytes));
     must(got.status == 200 || got.status == 400 || got.status == 413,
--- a/tests/soak/soak_clients.cpp
+++ b/tests/soak/soak_clients.cpp
@@ -1,7 +1,7 @@
 #include "soak/soak_clients.hpp"
 
 #include "glenhollow/core/run_after.hpp"
-#include "platform/body.hpp"
+#include "platform/json_body.hpp"
 #include "soak/client_traffic.hpp"
 
 #include <boost/json/array.hpp>
@@ -108,7 +108,7 @@
 void soak_clients::check_ready(std::size_t at)
 {
     nodes_[at].readiness->send(
-        platform::get_of("/ready"),
+        platform::get_request("/ready"),
         [this, at](const http_result& got)
         {
             auto& node = nodes_[at];
@@ -284,8 +284,8 @@
     const auto status = got.response.status;
     if (!got.answered || status == 502 || status == 504)
         return not_answered(id, false);
-    const auto body = platform::object_of(got.response.body);
-    const auto state = platform::text_of(body, "state");
+    const auto body = platform::parse_object(got.response.body);
+    const auto state = platform::string_field(body, "state");
     checker_.answered(id, status, state, process_clock().now());
     const auto known = open_.find(id);
     if (known == open_.end())
@@ -352,8 +352,8 @@
 void soak_clients::take_state(const std::string& id, instant asked,
                               const http_result& got)
 {
-    const auto state =
-        platform::text_of(platform::object_of(got.response.body), "state");
+    const auto state = platform::string_field(
+        platform::parse_object(got.response.body), "state");
     if (got.answered)
         checker_.shown(id, got.response.status, state, asked,
                        process_clock().now());
--- a/tests/soak/soak_deployment.cpp
+++ b/tests/soak/soak_deployment.cpp
@@ -1,8 +1,8 @@
 #include "soak/soak_deployment.hpp"
 
 #include "glenhollow/core/run_after.hpp"
-#include "platform/body.hpp"
 #include "platform/http_row_store.hpp"
+#include "platform/json_body.hpp"
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/json/array.hpp>
@@ -249,8 +249,8 @@
     if (i < backends_.size())
     {
         backends_[i].control->send(
-            platform::post_of("/fault",
-                              json::serialize(knobs_for(backends_[i]))),
+            platform::post_request("/fault",
+                                   json::serialize(knobs_for(backends_[i]))),
             [this, i](const http_result& got)
             {
                 if (got.answered)
@@ -374,7 +374,7 @@
     for (std::size_t i = 0; i < backends_.size(); ++i)
     {
         backends_[i].control->send(
-            platform::get_of("/record"),
+            platform::get_request("/record"),
             [this, i, runs, missing, done](const http_result& got)
             {
                 const auto name = "backend" + std::to_string(i);
--- a/tests/soak/soak_faults.cpp
+++ b/tests/soak/soak_faults.cpp
@@ -1,7 +1,7 @@
 #include "soak/soak_deployment.hpp"
 
 #include "glenhollow/core/run_after.hpp"
-#include "platform/body.hpp"
+#include "platform/json_body.hpp"
 
 #include <boost/json/serialize.hpp>
 
@@ -275,7 +275,7 @@
     auto body = knobs_for(at);
     body["crash"] = crash;
     body["forget"] = forget;
-    at.control->send(platform::post_of("/fault", json::serialize(body)),
+    at.control->send(platform::post_request("/fault", json::serialize(body)),
                      [this](const http_result& got)
                      {
                          if (!got.answered)
--- a/tests/soak/standin_knobs.cpp
+++ b/tests/soak/standin_knobs.cpp
@@ -1,6 +1,6 @@
 #include "soak/standin_knobs.hpp"
 
-#include "platform/body.hpp"
+#include "platform/json_body.hpp"
 
 namespace glenhollow::soak
 {
@@ -12,7 +12,7 @@
 
 std::int64_t time_of(const json::object& run, std::string_view name)
 {
-    return static_cast<std::int64_t>(platform::number_of(run, name));
+    return static_cast<std::int64_t>(platform::unsigned_field(run, name));
 }
 
 } // namespace
@@ -67,14 +67,14 @@
 
 std::uint64_t misread(const std::string& body)
 {
-    return platform::number_of(platform::object_of(body), "misread");
+    return platform::unsigned_field(platform::parse_object(body), "misread");
 }
 
 std::vector<seen_run> runs_of(const std::string& backend,
                               const std::string& body)
 {
     std::vector<seen_run> out;
-    const auto whole = platform::object_of(body);
+    const auto whole = platform::parse_object(body);
     const auto* list = whole.if_contains("runs");
     if (list == nullptr || !list->is_array())
         return out;
@@ -82,18 +82,18 @@
     {
         const auto& in = one.as_object();
         seen_run run;
-        run.task = platform::text_of(in, "task");
-        run.run = platform::number_of(in, "run");
-        run.spec = platform::text_of(in, "spec");
+        run.task = platform::string_field(in, "task");
+        run.run = platform::unsigned_field(in, "run");
+        run.spec = platform::string_field(in, "spec");
         run.backend = backend;
         run.begin = instant{time_of(in, "begin")};
-        run.how = platform::text_of(in, "how");
+        run.how = platform::string_field(in, "how");
         if (!run.how.empty())
             run.end = instant{time_of(in, "end")};
         run.noted = instant{time_of(in, "noted")};
-        run.lapsed_before_note = platform::flag_of(in, "lapsed_before_note");
-        run.left = platform::flag_of(in, "left");
-        run.late = platform::flag_of(in, "late");
+        run.lapsed_before_note = platform::bool_field(in, "lapsed_before_note");
+        run.left = platform::bool_field(in, "left");
+        run.late = platform::bool_field(in, "late");
         out.push_back(std::move(run));
     }
     return out;
--- a/tests/unit/adapter/caller_body_tests.cpp
+++ b/tests/unit/adapter/caller_body_tests.cpp
@@ -2,7 +2,7 @@
 // taken for 0, and a larger one than 32 bits for the largest of these: a task
 // that asked for 4,294,967,295 of a processor was counted as less than nothing
 // with what ran already, and was started where there was no room.
-#include "unit/adapter/front_world.hpp"
+#include "unit/adapter/client_handler_fixture.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -74,9 +74,9 @@
     return text.replace(at, from.size(), to);
 }
 
-struct body_world : front_world
+struct caller_body_fixture : client_handler_fixture
 {
-    body_world() { jobs.queues.max_body_bytes = 262'144; }
+    caller_body_fixture() { jobs.queues.max_body_bytes = 262'144; }
 };
 
 std::string many_steps(std::size_t steps)
@@ -91,7 +91,7 @@
 
 TEST_CASE("a body is read as it was meant, unknown fields are passed over")
 {
-    body_world world;
+    caller_body_fixture world;
     CHECK(world.call("POST", job_path, good_body).status == 200);
     REQUIRE(world.jobs.submitted);
     const auto& job = *world.jobs.submitted;
@@ -114,7 +114,7 @@
           R"("mem_mb":0,"gpu":0,"estimate_ms":0,"constraints":"",)"
           R"("affinity":"","after":[]}]})"})
     {
-        body_world world;
+        caller_body_fixture world;
         INFO(body);
         CHECK(world.call("POST", job_path, body).status == 200);
         REQUIRE(world.jobs.submitted);
@@ -128,7 +128,7 @@
 {
     for (const auto& bad : bad_bodies)
     {
-        body_world world;
+        caller_body_fixture world;
         const auto body = replaced(good_body, bad.from, bad.to);
         const auto got = world.call("POST", job_path, body);
         INFO(body.substr(0, 300) << " " << got.body);
@@ -152,7 +152,7 @@
           std::string(R"({"steps":[null]})"), std::string(R"({"steps":[[]]})"),
           std::string(R"({"steps":[]})")})
     {
-        body_world world;
+        caller_body_fixture world;
         INFO(body.substr(0, 100));
         CHECK(world.call("POST", job_path, body).status == 400);
         CHECK_FALSE(world.jobs.submitted);
@@ -161,7 +161,7 @@
 
 TEST_CASE("steps and tasks are bounded, one more is refused whole")
 {
-    body_world world;
+    caller_body_fixture world;
     CHECK(world.call("POST", job_path, many_steps(1001)).status == 400);
     CHECK(
         world
@@ -177,7 +177,7 @@
 
 TEST_CASE("no estimates and no patience make a time that can't be told")
 {
-    body_world world;
+    caller_body_fixture world;
     world.jobs.queues = {};
     queue_rule rule;
     rule.host = "a.example";
--- a/tests/unit/adapter/catalog_checks_tests.cpp
+++ b/tests/unit/adapter/catalog_checks_tests.cpp
@@ -127,8 +127,8 @@
 {
     manual_clock clock;
     std::deque<std::function<void()>> later;
-    configuration_tracker keeper{
-        {clock, platform::begin_catalog,
+    configuration_tracker tracker{
+        {clock, platform::make_catalog_reader,
          [&later](std::function<void()> work)
          { later.push_back(std::move(work)); },
          [](const std::string&, const configuration_tracker::copy_handler&) {},
@@ -136,14 +136,14 @@
         {}};
     const auto offer = [&](const std::string& document)
     {
-        keeper.offer_from_store(document);
+        tracker.offer_from_store(document);
         while (!later.empty())
         {
             const auto work = std::move(later.front());
             later.pop_front();
             work();
         }
-        return keeper.catalog().version;
+        return tracker.catalog().version;
     };
     CHECK(offer(good) == 7);
     const auto newer = replaced(good, R"("version":7)", R"("version":9)");
@@ -154,8 +154,8 @@
         const auto document = replaced(newer, bad.from, bad.to);
         INFO(document);
         CHECK(offer(document) == 7);
-        CHECK(keeper.catalog().queues().size() == 2);
-        CHECK(keeper.document() == good);
+        CHECK(tracker.catalog().queues().size() == 2);
+        CHECK(tracker.document() == good);
     }
     CHECK(offer(newer) == 9);
     CHECK(offer(good) == 9);
--- a/tests/unit/adapter/catalog_format_tests.cpp
+++ b/tests/unit/adapter/catalog_format_tests.cpp
@@ -32,7 +32,7 @@
 TEST_CASE("a large configuration is read in short slices, whole")
 {
     const auto document = document_of(1440);
-    const auto reading = platform::begin_catalog(document);
+    const auto reading = platform::make_catalog_reader(document);
     std::size_t slices = 0;
     std::optional<result<queue_catalog>> read;
     while (!read)
--- a/tests/unit/adapter/front_world.hpp
+++ b/tests/unit/adapter/client_handler_fixture.hpp
@@ -1,8 +1,8 @@
-#ifndef GLENHOLLOW_TESTS_FRONT_WORLD_HPP
-#define GLENHOLLOW_TESTS_FRONT_WORLD_HPP
+#ifndef GLENHOLLOW_TESTS_CLIENT_HANDLER_FIXTURE_HPP
+#define GLENHOLLOW_TESTS_CLIENT_HANDLER_FIXTURE_HPP
 
 #include "platform/catalog_format.hpp"
-#include "platform/client_front.hpp"
+#include "platform/client_request_handler.hpp"
 
 #include <optional>
 
@@ -51,9 +51,9 @@
 };
 
 /// The front over fake jobs.
-struct front_world
+struct client_handler_fixture
 {
-    front_world()
+    client_handler_fixture()
     {
         jobs.queues = platform::parse_catalog(configuration).value();
     }
@@ -74,7 +74,7 @@
     }
 
     fake_jobs jobs;
-    platform::client_front front{jobs};
+    platform::client_request_handler front{jobs};
 };
 
 /// Of a job.
--- a/tests/unit/adapter/client_front_tests.cpp
+++ b/tests/unit/adapter/client_request_handler_tests.cpp
@@ -1,5 +1,5 @@
 #include "platform/run_lists_format.hpp"
-#include "unit/adapter/front_world.hpp"
+#include "unit/adapter/client_handler_fixture.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -18,7 +18,7 @@
 
 TEST_CASE("a submission becomes a job, and its answer a status")
 {
-    front_world world;
+    client_handler_fixture world;
     const auto got =
         world.call("POST", job_path,
                    R"({"spec":"s","steps":[{"count":2,"cpu":1600,"mem_mb":64,
@@ -34,7 +34,7 @@
 
 TEST_CASE("refusals say when to come back, unknown ends say nothing")
 {
-    front_world world;
+    client_handler_fixture world;
     const std::string body = R"({"spec":"s","steps":[{"count":1}]})";
     world.jobs.reply = {job_outcome::refused, job_state::queued,
                         milliseconds{1500}};
@@ -49,7 +49,7 @@
 
 TEST_CASE("bad input gets its own answer and runs nothing")
 {
-    front_world world;
+    client_handler_fixture world;
     const auto status = [&world](std::string body)
     { return world.call("POST", job_path, std::move(body)).status; };
     CHECK(status("no json") == 400);
@@ -67,14 +67,14 @@
 
 TEST_CASE("without a configuration every call is told to come back")
 {
-    front_world world;
+    client_handler_fixture world;
     world.jobs.queues = {};
     CHECK(world.call("GET", job_path).status == 503);
 }
 
 TEST_CASE("state, cancel and the queue's count reach the product")
 {
-    front_world world;
+    client_handler_fixture world;
     CHECK(world.call("GET", job_path).body == R"({"state":"running"})");
     CHECK(world.jobs.asked == 0x5c0e7a21d94b36f8U);
     CHECK(world.call("DELETE", job_path).status == 200);
@@ -86,7 +86,7 @@
 {
     const task_ref task{0x5c0e7a21d94b36f8, 1, 2, 17};
     CHECK(platform::task_name(task) == "5c0e7a21d94b36f8.1.2.17");
-    CHECK(platform::task_from("5c0e7a21d94b36f8.1.2.17") == task);
-    CHECK_FALSE(platform::task_from("5c0e7a21d94b36f8.1.2"));
-    CHECK_FALSE(platform::task_from("x.1.2.3"));
+    CHECK(platform::parse_task_name("5c0e7a21d94b36f8.1.2.17") == task);
+    CHECK_FALSE(platform::parse_task_name("5c0e7a21d94b36f8.1.2"));
+    CHECK_FALSE(platform::parse_task_name("x.1.2.3"));
 }
--- a/tests/unit/adapter/configuration_burst_tests.cpp
+++ b/tests/unit/adapter/configuration_burst_tests.cpp
@@ -1,6 +1,6 @@
 #include "glenhollow/durable/configuration_tracker.hpp"
 #include "platform/catalog_format.hpp"
-#include "platform/client_front.hpp"
+#include "platform/client_request_handler.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -32,9 +32,9 @@
 }
 
 /// An entry of one thread: a configuration keeper and callers.
-struct entry_world final : durable_jobs
+struct entry_fixture final : durable_jobs
 {
-    const queue_catalog& catalog() const override { return keeper.catalog(); }
+    const queue_catalog& catalog() const override { return tracker.catalog(); }
 
     std::function<void()> submit(const job_definition& job,
                                  job_reply_handler done) override
@@ -75,22 +75,22 @@
     manual_clock clock;
     std::deque<std::function<void()>> later;
     std::string queue;
-    configuration_tracker keeper{
-        {clock, platform::begin_catalog,
+    configuration_tracker tracker{
+        {clock, platform::make_catalog_reader,
          [this](std::function<void()> work)
          { later.push_back(std::move(work)); },
          [](const std::string&, const configuration_tracker::copy_handler&) {},
          [] {}},
         {}};
-    platform::client_front front{*this};
+    platform::client_request_handler front{*this};
 };
 
 } // namespace
 
 TEST_CASE("1,400 routes more during a burst: requests go on between slices")
 {
-    entry_world world;
-    world.keeper.offer_from_store(document_of(4, 45));
+    entry_fixture world;
+    world.tracker.offer_from_store(document_of(4, 45));
     while (!world.later.empty())
         world.round();
     std::minstd_rand random(7);
@@ -99,14 +99,14 @@
     // It comes three times at once, as the store and two peers bring it.
     const auto document = document_of(7, 1445);
     for (int i = 0; i < 3; ++i)
-        world.keeper.offer_from_store(document);
+        world.tracker.offer_from_store(document);
     std::size_t rounds = 0;
     std::uint64_t before = 4;
     while (!world.later.empty())
     {
         world.round();
         ++rounds;
-        const auto version = world.keeper.catalog().version;
+        const auto version = world.tracker.catalog().version;
         CHECK(version >= before);
         before = version;
         for (int i = 0; i < 20; ++i)
@@ -116,12 +116,12 @@
             CHECK(world.ask(new_route(random)) == (version == 7 ? 200 : 404));
         }
     }
-    CHECK(world.keeper.catalog().version == 7);
+    CHECK(world.tracker.catalog().version == 7);
     CHECK(rounds >= 16);
-    CHECK(world.keeper.stats().applied == 2);
-    CHECK(world.keeper.stats().repeated == 2);
+    CHECK(world.tracker.stats().applied == 2);
+    CHECK(world.tracker.stats().repeated == 2);
     // An older one that arrives late takes nothing back.
-    world.keeper.offer_from_store(document_of(6, 45));
+    world.tracker.offer_from_store(document_of(6, 45));
     while (!world.later.empty())
         world.round();
     CHECK(world.ask(1444) == 200);
--- a/tests/unit/adapter/early_requests_tests.cpp
+++ b/tests/unit/adapter/early_requests_tests.cpp
@@ -1,6 +1,6 @@
 // What comes to an entry before its first configuration.
 #include "platform/catalog_format.hpp"
-#include "platform/client_front.hpp"
+#include "platform/client_request_handler.hpp"
 #include "platform/early_requests.hpp"
 #include "unit/support/manual_loop.hpp"
 
@@ -23,7 +23,7 @@
     R"({"spec":"s","steps":[{"count":2,"cpu":1600,"estimate_ms":1000}],"best_effort":true})";
 
 /// Takes all jobs and answers none.
-class patient_jobs final : public durable_jobs
+class pending_jobs final : public durable_jobs
 {
 public:
     const queue_catalog& catalog() const override { return queues; }
@@ -45,10 +45,10 @@
 };
 
 /// An entry's front that has just started.
-struct early_world
+struct early_requests_fixture
 {
-    explicit early_world(std::size_t most = 256)
-        : early(loop.clock, loop.delay(), {milliseconds{500}, most})
+    explicit early_requests_fixture(std::size_t max_requests = 256)
+        : early(loop.clock, loop.delay(), {milliseconds{500}, max_requests})
     {
     }
 
@@ -60,8 +60,8 @@
         request.headers = {{"Host", "a.example"},
                            {"Glenhollow-Timeout-Ms", "1900"}};
         request.body = body;
-        request.on_close = [this](std::function<void()> told)
-        { leave = std::move(told); };
+        request.on_close = [this](std::function<void()> callback)
+        { close_connection = std::move(callback); };
         front.handle(std::move(request), [this](http_response answer)
                      { answers.push_back(std::move(answer)); });
     }
@@ -72,10 +72,11 @@
     }
 
     manual_loop loop;
-    patient_jobs jobs;
+    pending_jobs jobs;
     platform::early_requests early;
-    platform::client_front front{jobs, &early};
-    std::function<void()> leave; ///< The last client closes its connection.
+    platform::client_request_handler front{jobs, &early};
+    std::function<void()>
+        close_connection; ///< The last client closes its connection.
     std::vector<http_response> answers;
 };
 
@@ -84,7 +85,7 @@
 TEST_CASE("a request before the first configuration waits for it")
 {
     // Found where all VMs had lost power: 80 of 136 refusals after it.
-    early_world world;
+    early_requests_fixture world;
     world.post();
     world.loop.advance(milliseconds{100});
     CHECK(world.answers.empty());
@@ -99,8 +100,8 @@
     CHECK(job.expiry_ms - job.accepted_ms >= 1780);
     // So did the time by which it is expected, 60 ms and 1.6 times 1 s.
     CHECK(job.objective_ms - job.accepted_ms <= 1560);
-    REQUIRE(world.leave);
-    world.leave();
+    REQUIRE(world.close_connection);
+    world.close_connection();
     CHECK(world.jobs.withdrawn == 1);
     CHECK(world.early.stats().held == 1);
     CHECK(world.early.stats().refused == 0);
@@ -108,7 +109,7 @@
 
 TEST_CASE("without a configuration in time a request is refused, as are later")
 {
-    early_world world;
+    early_requests_fixture world;
     world.post();
     world.loop.advance(milliseconds{520});
     REQUIRE(world.answers.size() == 1);
@@ -122,7 +123,7 @@
 
 TEST_CASE("early requests are bounded")
 {
-    early_world world(2);
+    early_requests_fixture world(2);
     world.post();
     world.post();
     CHECK(world.answers.empty());
@@ -136,10 +137,10 @@
 
 TEST_CASE("an early request whose client has left is not run")
 {
-    early_world world;
+    early_requests_fixture world;
     world.post();
-    REQUIRE(world.leave);
-    world.leave();
+    REQUIRE(world.close_connection);
+    world.close_connection();
     world.configure();
     world.loop.advance(milliseconds{10});
     CHECK(world.jobs.submitted.empty());
@@ -148,7 +149,7 @@
 
 TEST_CASE("with a configuration nothing is held")
 {
-    early_world world;
+    early_requests_fixture world;
     world.configure();
     world.post();
     CHECK(world.jobs.submitted.size() == 1);
--- a/tests/unit/durable/evacuation_tests.cpp
+++ b/tests/unit/durable/evacuation_tests.cpp
@@ -111,7 +111,7 @@
 
 TEST_CASE("evacuations are read from the operator's table")
 {
-    const auto place = platform::operator_configuration();
+    const auto place = platform::operator_catalog_location();
     CHECK(place.table == "op");
     CHECK(place.evacuation_prefix + "olten-a" == "evacuate/olten-a");
 }
--- a/tests/unit/platform/foreign_input_tests.cpp
+++ b/tests/unit/platform/foreign_input_tests.cpp
@@ -3,8 +3,8 @@
 #include "glenhollow/core/random.hpp"
 #include "platform/rows_format.hpp"
 #include "platform/run_lists_format.hpp"
-#include "platform/runner_account_format.hpp"
-#include "platform/runner_registration.hpp"
+#include "platform/server_heartbeat_format.hpp"
+#include "platform/server_registration.hpp"
 #include "unit/support/fake_runner_port.hpp"
 
 #include <catch2/catch.hpp>
@@ -17,7 +17,7 @@
 
 constexpr lease_id entry_lease = memory_lease(0);
 
-const std::string good_beat =
+const std::string good_heartbeat =
     R"({"service":"service-1","address":"10.0.0.9:80","zone":"hall-1",)"
     R"("version":"v1","slots":8,"state":"ready","cold_remaining_ms":0,)"
     R"("capacity":{"cpu":4000,"mem_mb":1000,"gpu":0},)"
@@ -49,7 +49,7 @@
     std::string to;
 };
 
-const std::vector<bad_change> bad_beats{
+const std::vector<bad_change> bad_heartbeats{
     {"service", R"("service":"service-1",)", ""},
     {"service", R"("service-1")", "5"},
     {"service", R"("service-1")", R"("")"},
@@ -80,7 +80,7 @@
 };
 
 /// Bodies of which nothing can be read.
-std::vector<std::string> noise()
+std::vector<std::string> malformed_bodies()
 {
     return {"",
             "{",
@@ -91,25 +91,25 @@
             std::string(3000, '[') + std::string(3000, ']'),
             std::string(100'000, '7'),
             R"({"service":"\ud800"})",
-            good_beat.substr(0, good_beat.size() / 2)};
+            good_heartbeat.substr(0, good_heartbeat.size() / 2)};
 }
 
 /// An agent whose backend server is known, answers, and runs a task.
-struct known_world
+struct known_server_fixture
 {
-    known_world()
+    known_server_fixture()
     {
         server.incarnation = "server-1";
         server.born_ms = 1'750'000'000'000;
         manager.begin();
-        put("server-1", good_beat);
+        put("server-1", good_heartbeat);
         run(milliseconds{50});
         run_order order;
         order.run = {{42, 0, 0, 0}, first_memory_run + 1};
         order.needs = {1000, 10, 0};
         manager.order(order, entry_lease);
         run(milliseconds{50});
-        REQUIRE(holds());
+        REQUIRE(server_unchanged());
     }
 
     unsigned put(const std::string& id, const std::string& body)
@@ -136,7 +136,7 @@
     }
 
     /// @return Whether the server is known as it is, and its run goes on.
-    bool holds()
+    bool server_unchanged()
     {
         const auto& known = manager.account();
         return known.instance == "server-1" &&
@@ -149,7 +149,7 @@
     manual_loop loop;
     fake_backend_server server{loop};
     run_manager manager{loop.clock, server, loop.delay(), 1000, {}};
-    runner_registration registration{manager, "service-1"};
+    server_registration registration{manager, "service-1"};
 };
 
 /// @return The text with some bytes changed, cut out or put in.
@@ -176,9 +176,10 @@
 
 TEST_CASE("a heartbeat is read as it was meant")
 {
-    const auto told = decode_account("server-1", good_beat, "service-1");
-    REQUIRE(told);
-    const auto& account = told.value().account;
+    const auto received =
+        decode_heartbeat("server-1", good_heartbeat, "service-1");
+    REQUIRE(received);
+    const auto& account = received.value().account;
     CHECK(account.incarnation() ==
           server_incarnation{"server-1", 1'750'000'000'000});
     CHECK(account.service == "service-1");
@@ -188,69 +189,69 @@
     CHECK(account.capacity.cpu == 4000);
     CHECK(account.capacity.memory == 1000);
     CHECK(account.labels == std::vector<std::string>{"a", "r1-3"});
-    CHECK(told.value().times.clock_ms == 482113);
-    CHECK_FALSE(told.value().times.remaining);
+    CHECK(received.value().times.clock_ms == 482113);
+    CHECK_FALSE(received.value().times.remaining);
 }
 
 TEST_CASE("a field that is not known, or a whole number as 4.0, is no error")
 {
-    CHECK(decode_account(
+    CHECK(decode_heartbeat("server-1",
+                           replaced(good_heartbeat, R"("slots":8)",
+                                    R"("slots":8,"news":{"x":[null]})"),
+                           {}));
+    const auto received = decode_heartbeat(
         "server-1",
-        replaced(good_beat, R"("slots":8)", R"("slots":8,"news":{"x":[null]})"),
-        {}));
-    const auto told = decode_account(
-        "server-1", replaced(good_beat, R"("sequence":4)", R"("sequence":4.0)"),
-        {});
-    REQUIRE(told);
-    CHECK(told.value().account.sequence == 4);
+        replaced(good_heartbeat, R"("sequence":4)", R"("sequence":4.0)"), {});
+    REQUIRE(received);
+    CHECK(received.value().account.sequence == 4);
 }
 
 TEST_CASE("a heartbeat with a wrong field is refused and names it")
 {
-    for (const auto& bad : bad_beats)
+    for (const auto& bad : bad_heartbeats)
     {
-        const auto body = replaced(good_beat, bad.from, bad.to);
+        const auto body = replaced(good_heartbeat, bad.from, bad.to);
         INFO(body);
-        const auto told = decode_account("server-1", body, "service-1");
-        REQUIRE_FALSE(told);
-        CHECK(told.error().field == bad.field);
-        CHECK(told.error().length == body.size());
+        const auto received = decode_heartbeat("server-1", body, "service-1");
+        REQUIRE_FALSE(received);
+        CHECK(received.error().field == bad.field);
+        CHECK(received.error().length == body.size());
     }
-    for (const auto& body : noise())
-        CHECK_FALSE(decode_account("server-1", body, {}));
-    CHECK_FALSE(decode_account("", good_beat, {}));
-    CHECK_FALSE(decode_account(std::string(201, 'x'), good_beat, {}));
+    for (const auto& body : malformed_bodies())
+        CHECK_FALSE(decode_heartbeat("server-1", body, {}));
+    CHECK_FALSE(decode_heartbeat("", good_heartbeat, {}));
+    CHECK_FALSE(decode_heartbeat(std::string(201, 'x'), good_heartbeat, {}));
 }
 
 TEST_CASE("what can't be read names no server, and the known one holds")
 {
     for (const auto* id : {"server-1", "server-2"})
     {
-        known_world world;
-        for (const auto& bad : bad_beats)
+        known_server_fixture world;
+        for (const auto& bad : bad_heartbeats)
         {
-            const auto body = replaced(good_beat, bad.from, bad.to);
+            const auto body = replaced(good_heartbeat, bad.from, bad.to);
             INFO(id << " " << body);
             CHECK(world.put(id, body) == 400);
             world.run(milliseconds{20});
-            CHECK(world.holds());
+            CHECK(world.server_unchanged());
         }
-        for (const auto& body : noise())
+        for (const auto& body : malformed_bodies())
         {
             CHECK(world.put(id, body) == 400);
             world.run(milliseconds{20});
-            CHECK(world.holds());
+            CHECK(world.server_unchanged());
         }
-        CHECK(world.put("server-1", good_beat) == 200);
+        CHECK(world.put("server-1", good_heartbeat) == 200);
     }
 }
 
 TEST_CASE("what could not be read is counted by the field that was wrong")
 {
-    known_world world;
+    known_server_fixture world;
     world.put("server-2", "{");
-    world.put("server-2", replaced(good_beat, R"("ready")", "[]"));
-    world.put("server-2", replaced(good_beat, R"("ready")", "7"));
+    world.put("server-2", replaced(good_heartbeat, R"("ready")", "[]"));
+    world.put("server-2", replaced(good_heartbeat, R"("ready")", "7"));
     metric_page page;
     world.registration.collect(page);
     const auto text = page.render();
@@ -262,16 +263,16 @@
 
 TEST_CASE("a good account under a foreign id is borne out by nobody")
 {
-    known_world world;
-    CHECK(world.put("server-2", good_beat) == 200);
+    known_server_fixture world;
+    CHECK(world.put("server-2", good_heartbeat) == 200);
     world.run(milliseconds{200});
-    CHECK(world.holds());
+    CHECK(world.server_unchanged());
     CHECK(world.manager.stats().stale_registrations == 1);
 }
 
 TEST_CASE("lists of runs are read whole or not at all")
 {
-    const auto good = decode_lists(good_lists);
+    const auto good = decode_run_lists(good_lists);
     REQUIRE(good);
     CHECK(good.value().clock_ms == 482113);
     CHECK(good.value().born_ms == 1'750'000'000'000);
@@ -301,21 +302,21 @@
     {
         const auto body = replaced(good_lists, bad.from, bad.to);
         INFO(body);
-        const auto told = decode_lists(body);
-        REQUIRE_FALSE(told);
-        CHECK(told.error().field == bad.field);
+        const auto received = decode_run_lists(body);
+        REQUIRE_FALSE(received);
+        CHECK(received.error().field == bad.field);
     }
-    for (const auto& body : noise())
-        CHECK_FALSE(decode_lists(body));
+    for (const auto& body : malformed_bodies())
+        CHECK_FALSE(decode_run_lists(body));
 }
 
 TEST_CASE("an end whose manner is unknown is an end, and a foreign task none")
 {
     const auto odd =
-        decode_lists(replaced(good_lists, R"("done")", R"("evaporated")"));
+        decode_run_lists(replaced(good_lists, R"("done")", R"("evaporated")"));
     REQUIRE(odd);
     CHECK(odd.value().finished[0].outcome == run_outcome::lapsed);
-    const auto foreign = decode_lists(
+    const auto foreign = decode_run_lists(
         replaced(good_lists, "5c0e7a21d94b36f8.0.1.17", "somebody's"));
     REQUIRE(foreign);
     CHECK(foreign.value().running.empty());
@@ -350,9 +351,9 @@
     {
         const auto body = replaced(good_rows, bad.from, bad.to);
         INFO(body);
-        const auto told = decode_rows(body);
-        REQUIRE_FALSE(told);
-        CHECK(told.error().field == bad.field);
+        const auto received = decode_rows(body);
+        REQUIRE_FALSE(received);
+        CHECK(received.error().field == bad.field);
     }
 }
 
@@ -369,8 +370,8 @@
 
 TEST_CASE("an error names the whole as the body")
 {
-    CHECK(decode_rows("{").error().place() == "body");
-    CHECK(decode_rows("{}").error().place() == "rows");
+    CHECK(decode_rows("{").error().field_path() == "body");
+    CHECK(decode_rows("{}").error().field_path() == "rows");
 }
 
 TEST_CASE("the store's bytes come back as they went in")
@@ -383,9 +384,9 @@
             bytes += static_cast<char>(random());
         const auto body = R"({"rows":[{"table":"t","key":"k","value":")" +
                           to_base64(bytes) + R"("}]})";
-        const auto told = decode_rows(body);
-        REQUIRE(told);
-        CHECK(told.value().rows[0].value == bytes);
+        const auto received = decode_rows(body);
+        REQUIRE(received);
+        CHECK(received.value().rows[0].value == bytes);
     }
 }
 
@@ -403,31 +404,31 @@
           "=m9v", "Zg=v", "    Zm9v", "Zm9v\\n", "Zm9", "Zg"})
     {
         INFO(value);
-        const auto told = decode_rows(body_with(value));
-        REQUIRE_FALSE(told);
-        CHECK(told.error().field == "value");
+        const auto received = decode_rows(body_with(value));
+        REQUIRE_FALSE(received);
+        CHECK(received.error().field == "value");
     }
     const std::vector<std::pair<std::string, std::string>> good{
         {"", ""}, {"Zg==", "f"}, {"Zm8=", "fo"}, {"Zm9v", "foo"}};
     for (const auto& [value, bytes] : good)
     {
-        const auto told = decode_rows(body_with(value));
-        REQUIRE(told);
-        CHECK(told.value().rows[0].value == bytes);
+        const auto received = decode_rows(body_with(value));
+        REQUIRE(received);
+        CHECK(received.value().rows[0].value == bytes);
     }
 }
 
 TEST_CASE("changed bytes of another sender leave the known server as it is")
 {
     random_engine random(7);
-    known_world world;
+    known_server_fixture world;
     std::size_t taken = 0;
     for (int i = 0; i < 3000; ++i)
     {
-        if (world.put("server-2", mutated(good_beat, random)) == 200)
+        if (world.put("server-2", mutated(good_heartbeat, random)) == 200)
             ++taken;
         world.run(milliseconds{10});
-        REQUIRE(world.holds());
+        REQUIRE(world.server_unchanged());
     }
     CHECK(taken > 0); // Some are good accounts still.
 }
@@ -438,8 +439,9 @@
     std::size_t read = 0;
     for (int i = 0; i < 20'000; ++i)
     {
-        read += decode_account("s", mutated(good_beat, random), {}) ? 1 : 0;
-        read += decode_lists(mutated(good_lists, random)) ? 1 : 0;
+        read +=
+            decode_heartbeat("s", mutated(good_heartbeat, random), {}) ? 1 : 0;
+        read += decode_run_lists(mutated(good_lists, random)) ? 1 : 0;
         read += decode_rows(mutated(good_rows, random)) ? 1 : 0;
     }
     CHECK(read > 0);
--- a/tests/unit/platform/restarted_server_tests.cpp
+++ b/tests/unit/platform/restarted_server_tests.cpp
@@ -8,7 +8,7 @@
 // evidence: after the restart no line of a registration or of draining, 180
 // runs `vanished` in 6 s with `done` unmoved, and as many ends swallowed as the
 // first life had listed (226 of another server, then `done` rose again).
-#include "platform/runner_registration.hpp"
+#include "platform/server_registration.hpp"
 #include "unit/support/fake_runner_port.hpp"
 
 #include <catch2/catch.hpp>
@@ -23,9 +23,9 @@
 constexpr std::int64_t second_born = first_born + 60'000;
 
 /// An agent and a backend server that keeps its id when it runs again.
-struct restart_world
+struct restart_fixture
 {
-    restart_world()
+    restart_fixture()
     {
         server.incarnation = "server-1";
         server.born_ms = first_born;
@@ -34,8 +34,9 @@
     }
 
     /// A heartbeat as it comes.
-    unsigned beat(std::int64_t born, std::uint64_t sequence,
-                  const std::string& state, const std::string& more = {})
+    unsigned send_heartbeat(std::int64_t born, std::uint64_t sequence,
+                            const std::string& state,
+                            const std::string& more = {})
     {
         return call("PUT", R"({"service":"service-1","zone":"hall-1",)"
                            R"("capacity":{"cpu":4000,"mem_mb":1000,"gpu":0},)"
@@ -71,7 +72,7 @@
             loop.advance(step);
             for (const auto& end : manager.take_ends(entry_lease))
             {
-                told.push_back(end);
+                reported_ends.push_back(end);
                 manager.confirm(end);
             }
         }
@@ -91,9 +92,9 @@
     }
 
     /// The first life has done three tasks, and all of that is confirmed.
-    void live_once()
+    void run_first_incarnation()
     {
-        beat(first_born, 40, "ready");
+        send_heartbeat(first_born, 40, "ready");
         run(milliseconds{50});
         for (std::uint32_t index = 0; index < 3; ++index)
             order(index);
@@ -102,27 +103,27 @@
         for (std::uint32_t index = 0; index < 3; ++index)
             server.finish(ref(index), run_outcome::done);
         run(milliseconds{200});
-        REQUIRE(told.size() == 3);
+        REQUIRE(reported_ends.size() == 3);
         REQUIRE(server.confirmed == 3);
-        told.clear();
+        reported_ends.clear();
     }
 
     /// Its next life has registered and answers.
-    void live_again()
+    void start_second_incarnation()
     {
         server.restart(second_born);
         run(milliseconds{200});
-        CHECK(beat(second_born, 1, "ready") == 200);
+        CHECK(send_heartbeat(second_born, 1, "ready") == 200);
         run(milliseconds{100});
         REQUIRE(manager.account().phase == server_phase::ready);
-        told.clear();
+        reported_ends.clear();
     }
 
     manual_loop loop;
     fake_backend_server server{loop};
     run_manager manager{loop.clock, server, loop.delay(), 1000, {}};
-    platform::runner_registration registration{manager};
-    std::vector<run_end> told; ///< To the entry, which confirmed them.
+    platform::server_registration registration{manager};
+    std::vector<run_end> reported_ends; ///< To the entry, which confirmed them.
 };
 
 } // namespace
@@ -130,47 +131,48 @@
 TEST_CASE("a server that ran again under its id and leaves gets no work",
           "[restarted_server]")
 {
-    restart_world world;
-    world.live_once();
-    world.live_again();
-    CHECK(world.beat(second_born, 2, "draining") == 200);
+    restart_fixture world;
+    world.run_first_incarnation();
+    world.start_second_incarnation();
+    CHECK(world.send_heartbeat(second_born, 2, "draining") == 200);
     world.run(milliseconds{20});
     CHECK(world.manager.account().phase == server_phase::draining);
     world.order(7);
     world.run(milliseconds{50});
     CHECK(world.server.running.empty());
-    REQUIRE(world.told.size() == 1);
-    CHECK(world.told[0].outcome == run_outcome::not_begun);
+    REQUIRE(world.reported_ends.size() == 1);
+    CHECK(world.reported_ends[0].outcome == run_outcome::not_begun);
 }
 
 TEST_CASE("ends of a server that ran again under its id are known",
           "[restarted_server]")
 {
-    restart_world world;
-    world.live_once();
-    world.live_again();
+    restart_fixture world;
+    world.run_first_incarnation();
+    world.start_second_incarnation();
     world.order(7);
     world.run(milliseconds{50});
     REQUIRE(world.server.running.size() == 1);
     world.server.finish(world.ref(7), run_outcome::done);
     world.run(milliseconds{200});
-    REQUIRE(world.told.size() == 1);
-    CHECK(world.told[0].outcome == run_outcome::done);
+    REQUIRE(world.reported_ends.size() == 1);
+    CHECK(world.reported_ends[0].outcome == run_outcome::done);
     CHECK(world.manager.stats().runs_missing == 0);
 }
 
 TEST_CASE("late heartbeats of the life before and of this one change nothing",
           "[restarted_server]")
 {
-    restart_world world;
-    world.live_once();
-    world.live_again();
-    world.beat(second_born, 5, "draining");
+    restart_fixture world;
+    world.run_first_incarnation();
+    world.start_second_incarnation();
+    world.send_heartbeat(second_born, 5, "draining");
     world.run(milliseconds{20});
-    world.beat(first_born, 41, "ready"); // Held back since before the end.
+    world.send_heartbeat(first_born, 41,
+                         "ready"); // Held back since before the end.
     world.run(milliseconds{50});
     CHECK(world.manager.account().phase == server_phase::draining);
-    world.beat(second_born, 4, "ready"); // Overtaken by the fifth.
+    world.send_heartbeat(second_born, 4, "ready"); // Overtaken by the fifth.
     world.run(milliseconds{50});
     CHECK(world.manager.account().phase == server_phase::draining);
     CHECK(world.manager.account().born_ms == second_born);
@@ -179,49 +181,49 @@
 TEST_CASE("a run without an answer that its server's end took may have run",
           "[restarted_server]")
 {
-    restart_world world;
-    world.live_once();
+    restart_fixture world;
+    world.run_first_incarnation();
     world.server.lose_answers = 1;
     world.order(7);
     world.loop.advance(milliseconds{2});
     REQUIRE(world.server.running.size() == 1);
     world.server.restart(second_born);
     world.run(milliseconds{100});
-    world.beat(second_born, 1, "ready");
+    world.send_heartbeat(second_born, 1, "ready");
     world.run(milliseconds{1500});
-    REQUIRE(world.told.size() == 1);
-    CHECK(world.told[0].outcome == run_outcome::lapsed);
+    REQUIRE(world.reported_ends.size() == 1);
+    CHECK(world.reported_ends[0].outcome == run_outcome::lapsed);
 }
 
 TEST_CASE("what ran when its server ended has ended, and nothing else",
           "[restarted_server]")
 {
-    restart_world world;
-    world.live_once();
+    restart_fixture world;
+    world.run_first_incarnation();
     world.order(7);
     world.run(milliseconds{50});
     world.server.restart(second_born);
     world.order(8); // The server is back before anybody has looked.
     world.run(milliseconds{300});
-    world.beat(second_born, 1, "ready");
+    world.send_heartbeat(second_born, 1, "ready");
     world.run(milliseconds{300});
-    REQUIRE(world.told.size() == 1);
-    CHECK(world.told[0].run == world.ref(7));
-    CHECK(world.told[0].outcome == run_outcome::lapsed);
+    REQUIRE(world.reported_ends.size() == 1);
+    CHECK(world.reported_ends[0].run == world.ref(7));
+    CHECK(world.reported_ends[0].outcome == run_outcome::lapsed);
     REQUIRE(world.server.running.size() == 1);
     CHECK(world.server.running[0] == world.ref(8));
     world.server.finish(world.ref(8), run_outcome::done);
     world.run(milliseconds{200});
-    REQUIRE(world.told.size() == 2);
-    CHECK(world.told[1].outcome == run_outcome::done);
+    REQUIRE(world.reported_ends.size() == 2);
+    CHECK(world.reported_ends[1].outcome == run_outcome::done);
 }
 
 TEST_CASE("a life that has not registered gets no work under the last one's id",
           "[restarted_server]")
 {
     // It may be of another kind, with less room.
-    restart_world world;
-    world.live_once();
+    restart_fixture world;
+    world.run_first_incarnation();
     world.server.restart(second_born);
     world.run(milliseconds{300});
     CHECK(world.manager.account().phase == server_phase::absent);
@@ -233,10 +235,10 @@
 TEST_CASE("a notice counts by the clock of the life that gave it",
           "[restarted_server]")
 {
-    restart_world world;
-    world.live_once();
-    world.live_again();
-    world.beat(second_born, 2, "draining", R"(,"remaining_ms":1800)");
+    restart_fixture world;
+    world.run_first_incarnation();
+    world.start_second_incarnation();
+    world.send_heartbeat(second_born, 2, "draining", R"(,"remaining_ms":1800)");
     world.run(milliseconds{20});
     REQUIRE(world.manager.load().leaves_in);
     CHECK(*world.manager.load().leaves_in > milliseconds{1500});
@@ -246,59 +248,59 @@
 TEST_CASE("a sign-off of the life before that comes late ends nothing",
           "[restarted_server]")
 {
-    restart_world world;
-    world.live_once();
-    world.live_again();
+    restart_fixture world;
+    world.run_first_incarnation();
+    world.start_second_incarnation();
     world.order(7);
     world.run(milliseconds{50});
     CHECK(world.sign_off() == 200);
     world.run(milliseconds{200});
-    CHECK(world.told.empty());
+    CHECK(world.reported_ends.empty());
     CHECK(world.manager.account().phase == server_phase::ready);
     CHECK(world.server.running.size() == 1);
 }
 
 TEST_CASE("a planned sign-off ends the life at once", "[restarted_server]")
 {
-    restart_world world;
-    world.live_once();
+    restart_fixture world;
+    world.run_first_incarnation();
     world.order(7);
     world.run(milliseconds{50});
-    world.beat(first_born, 41, "draining");
+    world.send_heartbeat(first_born, 41, "draining");
     world.sign_off();
     world.run(milliseconds{10});
     CHECK(world.manager.account().instance.empty());
-    REQUIRE(world.told.size() == 1);
-    CHECK(world.told[0].outcome == run_outcome::lapsed);
+    REQUIRE(world.reported_ends.size() == 1);
+    CHECK(world.reported_ends[0].outcome == run_outcome::lapsed);
 }
 
 TEST_CASE("a sign-off without notice counts when nobody listens any more",
           "[restarted_server]")
 {
-    restart_world world;
-    world.live_once();
+    restart_fixture world;
+    world.run_first_incarnation();
     world.order(7);
     world.run(milliseconds{50});
     world.server.unreachable = true;
     world.sign_off();
     world.run(milliseconds{150});
     CHECK(world.manager.account().instance.empty());
-    REQUIRE(world.told.size() == 1);
-    CHECK(world.told[0].outcome == run_outcome::lapsed);
+    REQUIRE(world.reported_ends.size() == 1);
+    CHECK(world.reported_ends[0].outcome == run_outcome::lapsed);
 }
 
 TEST_CASE("a server that nobody listens at gets no work until it answers",
           "[restarted_server]")
 {
-    restart_world world;
-    world.live_once();
+    restart_fixture world;
+    world.run_first_incarnation();
     world.server.unreachable = true;
     world.run(milliseconds{200});
     CHECK(world.manager.account().phase == server_phase::absent);
     world.order(7);
     world.run(milliseconds{10});
-    REQUIRE(world.told.size() == 1);
-    CHECK(world.told[0].outcome == run_outcome::not_begun);
+    REQUIRE(world.reported_ends.size() == 1);
+    CHECK(world.reported_ends[0].outcome == run_outcome::not_begun);
     CHECK(world.server.started.at(42) == 3);
     world.server.unreachable = false; // The same life: it was cut off.
     world.run(milliseconds{100});
@@ -308,10 +310,10 @@
 TEST_CASE("a heartbeat that names no start is not used where lists name one",
           "[restarted_server]")
 {
-    restart_world world;
-    world.live_once();
+    restart_fixture world;
+    world.run_first_incarnation();
     // An answer of 200 would be relied on.
-    CHECK(world.beat(0, 50, "draining") == 400);
+    CHECK(world.send_heartbeat(0, 50, "draining") == 400);
     world.run(milliseconds{20});
     CHECK(world.manager.account().phase == server_phase::ready);
     CHECK(world.manager.stats().heartbeats.at(2) == 1);
@@ -320,13 +322,13 @@
 TEST_CASE("of lives whose start is never told the id alone says which it is",
           "[restarted_server]")
 {
-    restart_world world;
+    restart_fixture world;
     world.server.born_ms = 0;
-    world.beat(0, 1, "ready");
+    world.send_heartbeat(0, 1, "ready");
     world.run(milliseconds{50});
     CHECK(world.manager.account().phase == server_phase::ready);
-    world.beat(0, 3, "draining");
-    world.beat(0, 2, "ready");
+    world.send_heartbeat(0, 3, "draining");
+    world.send_heartbeat(0, 2, "ready");
     world.run(milliseconds{50});
     CHECK(world.manager.account().phase == server_phase::draining);
 }
@@ -334,10 +336,10 @@
 TEST_CASE("a new life that answers no look is taken once the last is silent",
           "[restarted_server]")
 {
-    restart_world world;
-    world.live_once();
+    restart_fixture world;
+    world.run_first_incarnation();
     world.server.silent = true;
-    world.beat(second_born, 1, "ready");
+    world.send_heartbeat(second_born, 1, "ready");
     world.run(milliseconds{500});
     CHECK(world.manager.account().born_ms == first_born); // It may live.
     world.run(milliseconds{1500});
@@ -349,14 +351,14 @@
           "[restarted_server]")
 {
     // The machine's time was set back between the two lives.
-    restart_world world;
-    world.live_once();
+    restart_fixture world;
+    world.run_first_incarnation();
     world.server.restart(first_born - 60'000);
     world.run(milliseconds{200});
-    world.beat(first_born - 60'000, 1, "ready");
+    world.send_heartbeat(first_born - 60'000, 1, "ready");
     world.run(milliseconds{100});
     CHECK(world.manager.account().phase == server_phase::ready);
-    world.beat(first_born - 60'000, 2, "draining");
+    world.send_heartbeat(first_born - 60'000, 2, "draining");
     world.run(milliseconds{20});
     CHECK(world.manager.account().phase == server_phase::draining);
 }
@@ -364,14 +366,14 @@
 TEST_CASE("a heartbeat of a life that has ended does not stand in for the next",
           "[restarted_server]")
 {
-    restart_world world;
-    world.live_once();
+    restart_fixture world;
+    world.run_first_incarnation();
     world.server.restart(second_born);
     world.run(milliseconds{200});
-    world.beat(first_born, 41, "ready"); // Held back.
+    world.send_heartbeat(first_born, 41, "ready"); // Held back.
     world.run(milliseconds{200});
     CHECK(world.manager.account().phase == server_phase::absent);
-    world.beat(second_born, 1, "ready");
+    world.send_heartbeat(second_born, 1, "ready");
     world.run(milliseconds{100});
     CHECK(world.manager.account().phase == server_phase::ready);
     CHECK(world.manager.account().born_ms == second_born);
@@ -380,7 +382,7 @@
 TEST_CASE("a life that ran again is not the one that an agent remembers",
           "[restarted_server]")
 {
-    restart_world world;
+    restart_fixture world;
     server_account before;
     before.service = "service-1";
     before.instance = "server-1";
@@ -392,7 +394,7 @@
     world.manager.restored(before);
     world.run(milliseconds{200});
     CHECK(world.manager.account().phase == server_phase::absent);
-    world.beat(second_born, 1, "ready");
+    world.send_heartbeat(second_born, 1, "ready");
     world.run(milliseconds{100});
     CHECK(world.manager.account().phase == server_phase::ready);
     CHECK(world.manager.account().capacity.cpu == 4000);
@@ -401,15 +403,16 @@
 TEST_CASE("what an agent remembers of a life outweighs an older heartbeat",
           "[restarted_server]")
 {
-    restart_world world;
-    world.beat(first_born, 40, "ready"); // On its way as the agent began.
+    restart_fixture world;
+    world.send_heartbeat(first_born, 40,
+                         "ready"); // On its way as the agent began.
     server_account kept = world.manager.account();
     kept.sequence = 42;
     kept.phase = server_phase::draining;
     world.manager.restored(kept);
     world.run(milliseconds{50});
     CHECK(world.manager.account().phase == server_phase::draining);
-    world.beat(first_born, 41, "ready");
+    world.send_heartbeat(first_born, 41, "ready");
     world.run(milliseconds{50});
     CHECK(world.manager.account().phase == server_phase::draining);
 }
--- a/tests/unit/platform/runner_registration_tests.cpp
+++ b/tests/unit/platform/server_registration_tests.cpp
@@ -1,4 +1,4 @@
-#include "platform/runner_registration.hpp"
+#include "platform/server_registration.hpp"
 #include "unit/support/fake_runner_port.hpp"
 
 #include <catch2/catch.hpp>
@@ -9,7 +9,7 @@
 {
 
 /// Accounts as they come in, to a manager that has not looked yet.
-struct registration_world
+struct registration_fixture
 {
     unsigned put(const std::string& times)
     {
@@ -30,14 +30,14 @@
     manual_loop loop;
     fake_backend_server runner{loop};
     run_manager manager{loop.clock, runner, loop.delay(), 1000, {}};
-    platform::runner_registration registration{manager};
+    platform::server_registration registration{manager};
 };
 
 } // namespace
 
 TEST_CASE("a server that leaves tells how long it stays at least")
 {
-    registration_world world;
+    registration_fixture world;
     CHECK(world.put(R"("state":"draining","remaining_ms":1800)") == 200);
     REQUIRE(world.manager.load().leaves_in);
     CHECK(*world.manager.load().leaves_in == milliseconds{1800});
@@ -47,14 +47,14 @@
 
 TEST_CASE("a server that stays has no notice, whatever else is told")
 {
-    registration_world world;
+    registration_fixture world;
     world.put(R"("state":"ready","remaining_ms":1800)");
     CHECK_FALSE(world.manager.load().leaves_in);
 }
 
 TEST_CASE("a server that leaves and does not say when gives no notice")
 {
-    registration_world world;
+    registration_fixture world;
     world.put(R"("state":"draining")");
     CHECK_FALSE(world.manager.load().leaves_in);
     CHECK(world.manager.stats().leaving_notices == 0);
@@ -62,7 +62,7 @@
 
 TEST_CASE("a server tells how long it stays slow from its start")
 {
-    registration_world world;
+    registration_fixture world;
     world.put(R"("state":"ready","cold_remaining_ms":700)");
     CHECK(world.manager.load().cold == milliseconds{700});
     world.loop.advance(milliseconds{500});
@@ -71,7 +71,7 @@
 
 TEST_CASE("times without measure are an hour at most")
 {
-    registration_world world;
+    registration_fixture world;
     world.put(R"("state":"draining","remaining_ms":18446744073709551615)");
     REQUIRE(world.manager.load().leaves_in);
     CHECK(*world.manager.load().leaves_in == seconds{3600});
--- a/tests/unit/soak/member_view_tests.cpp
+++ b/tests/unit/soak/member_view_tests.cpp
@@ -13,7 +13,7 @@
 
 std::string shown(const std::string& row)
 {
-    return shown_member(view, platform::to_base64(row));
+    return rewritten_member(view, platform::to_base64(row));
 }
 
 } // namespace
@@ -35,20 +35,20 @@
     for (const std::string row :
          {"", "[]", "{}", R"(["entry"])", R"(["entry",5])", R"(["entry","x"])"})
         CHECK(shown(row) == platform::to_base64(row));
-    CHECK(shown_member(view, "?") == "?");
+    CHECK(rewritten_member(view, "?") == "?");
 }
 
 TEST_CASE("member view: a list of views is read, or its wrong part is named")
 {
     const auto views =
-        member_views_from("4000=127.1.1.2:5000,4001=127.1.1.3:5001");
+        parse_member_views("4000=127.1.1.2:5000,4001=127.1.1.3:5001");
     REQUIRE(views);
     REQUIRE(views.value().size() == 2);
     CHECK(views.value()[1].port == 4001);
     CHECK(views.value()[1].host == "127.1.1.3");
     CHECK(views.value()[1].links == 5001);
-    CHECK(member_views_from("").value().empty());
+    CHECK(parse_member_views("").value().empty());
     for (const std::string wrong : {"4000", "x=127.1.1.2:1", "0=127.1.1.2:1",
                                     "4000=127.1.1.2", "70000=127.1.1.2:1"})
-        CHECK(!member_views_from(wrong));
+        CHECK(!parse_member_views(wrong));
 }
