--- a/standins/backend.cpp
+++ b/standins/backend.cpp
@@ -1,5 +1,5 @@
-// standin-backend: takes the place of one backend server in the soak. Faults
-// are set over HTTP; it keeps a record of all runs.
+// standin-backend: replaces one backend server in the soak test. Faults are set
+// over HTTP; all runs are recorded.
 #include "glenhollow/command_line/command_line.hpp"
 #include "glenhollow/core/port_file.hpp"
 #include "glenhollow/core/random.hpp"
@@ -28,86 +28,85 @@
 namespace
 {
 
-/// Ends that one answer holds at most, by the platform's rules.
+/// Most ends in one answer, as on the platform.
 constexpr std::size_t max_ends_per_answer = 500;
-/// How often waits for ends are looked at.
+/// Interval of checks of pending polls.
 constexpr duration tick_interval = milliseconds{10};
-/// A stop takes so long.
+/// Duration of a stop.
 constexpr duration stop_time = milliseconds{50};
-/// Longest time by which a late order comes later.
+/// Longest delay of a late order.
 constexpr double max_order_delay_ms = 4000;
-/// After the acknowledgement that it leaves, starts are in order so long.
+/// Time after an acknowledged drain in which starts are still allowed.
 constexpr duration drain_time = seconds{2};
-/// Between heartbeats.
+/// Interval of heartbeats.
+
 constexpr duration heartbeat_interval = milliseconds{500};
-/// Between a planned end and the next life.
+/// Time between a sign-off and the next incarnation.
 constexpr duration restart_delay = milliseconds{300};
-/// Work of a task whose spec names none.
+/// Duration of a task whose spec has none.
 constexpr duration default_work = milliseconds{50};
 
-/// One run, from its start on; kept for good.
+/// Record of one run, kept until the process ends.
 struct run_record
 {
-    std::string task;                ///< Its name.
-    std::uint64_t run = 0;           ///< Its number.
-    std::string spec;                ///< As told.
-    std::string life;                ///< Of the backend server.
-    instant begin{};                 ///< When it started.
-    instant finish{};                ///< When its work is done.
-    instant stop = instant::max();   ///< When a stop ends it.
-    instant end{};                   ///< 0 while it runs.
-    std::string how;                 ///< Its end; `crashed` is told to nobody.
-    bool left = false;               ///< Begun after the server had left.
-    bool late = false;               ///< Its start was held up on its way.
-    bool fails = false;              ///< Ends `failed`.
-    std::uint64_t number = 0;        ///< Of the end.
-    instant noted{};                 ///< When last_seen reached it; 0: not yet.
-    bool lapsed_before_note = false; ///< Its lease ended in between.
+    std::string task;              ///< Name of the task.
+    std::uint64_t run = 0;         ///< Number of the run.
+    std::string spec;              ///< Specification as received.
+    std::string life;              ///< Instance id of the server.
+    instant begin{};               ///< Start time.
+    instant finish{};              ///< Time at which the work is done.
+    instant stop = instant::max(); ///< Time at which a stop ends the run.
+    instant end{};                 ///< End time; 0 while the run is active.
+    std::string how;               ///< Outcome; `crashed` is never reported.
+    bool left = false;        ///< Whether the start came after the drain time.
+    bool late = false;        ///< Whether the start order was delayed.
+    bool fails = false;       ///< Whether the run ends as `failed`.
+    std::uint64_t number = 0; ///< Number of the end.
+    instant noted{}; ///< Time at which the end was confirmed; 0: not yet.
+    bool lapsed_before_note = false; ///< Whether the lease ended before that.
 };
 
-/// What goes wrong, as set over HTTP.
+/// Injected faults, set over HTTP.
 struct backend_faults
 {
-    double delay_ms = 0;     ///< Before each call is looked at.
+    double delay_ms = 0;     ///< Delay before each call.
     double refuse = 0;       ///< Share of starts that get 503.
     double fail = 0;         ///< Share of runs that end `failed`.
-    double lose_answers = 0; ///< Share of calls done, but not answered.
-    double late = 0;         ///< Share of orders done later, not answered.
-    bool ended = false;      ///< It answers nobody; then it lives again under
-                             ///< the same id.
-    bool leaving = false;    ///< It says that it leaves; then it signs off and
-                             ///< lives again under the same id.
-    double stranger = 0;     ///< Share of heartbeats that another writer
-                             ///< follows up with what can't be read, or is not
-                             ///< this server's.
-    double twice = 0;        ///< Share of runs that it begins once more when
-                             ///< they have ended; a planted fault.
+    double lose_answers = 0; ///< Share of executed calls without an answer.
+    double late = 0;      ///< Share of orders executed late without an answer.
+    bool ended = false;   ///< Crashes; restarts with the same id when cleared.
+    bool leaving = false; ///< Drains; signs off and restarts with the same id
+                          ///< when cleared.
+    double stranger =
+        0; ///< Share of heartbeats followed by an invalid or foreign one.
+    double twice =
+        0; ///< Share of runs that are wrongly started again after their end.
 };
 
-/// A look that waits for an end.
+/// A poll that waits for an end.
 struct pending_poll
 {
-    instant until{};     ///< Answers by then.
-    http_responder done; ///< Takes the answer.
+    instant until{};     ///< Latest time of the answer.
+    http_responder done; ///< Receives the answer.
 };
 
-/// What the flags say.
+/// Command line settings.
 struct backend_settings
 {
-    std::string name = "b1";           ///< Begins the ids of its lives.
-    std::string address = "127.0.0.1"; ///< Told in the heartbeats.
-    host_port agent;                   ///< Where it registers.
-    std::string service = "service";   ///< What it runs.
-    std::string zone = "zone";         ///< Where it stands.
-    std::uint32_t cpu = 4000;          ///< Thousandths of a core.
-    std::uint32_t mem_mb = 4096;       ///< Memory.
+    std::string name = "b1";           ///< Prefix of instance ids.
+    std::string address = "127.0.0.1"; ///< Address in heartbeats.
+    host_port agent;                   ///< Agent to register with.
+    std::string service = "service";   ///< Service that it runs.
+    std::string zone = "zone";         ///< Name of the hall.
+    std::uint32_t cpu = 4000;          ///< Capacity in millicores.
+    std::uint32_t mem_mb = 4096;       ///< Capacity in MiB.
     unsigned hold_ms = 1000;           ///< Longest lease.
-    double slow = 0;                   ///< Of its clock, as a share.
-    std::uint64_t seed = 1;            ///< Of the faults.
+    double slow = 0;                   ///< Share by which its clock is slow.
+    std::uint64_t seed = 1;            ///< Seed of the faults.
 };
 
-/// The stand-in's state; one thread. Ends bear the time at which they were due,
-/// however late this process gets to them.
+/// State of the stand-in. Not thread-safe. Ends carry the time at which they
+/// were due, even if they are processed later.
 class standin_backend final
 {
 public:
@@ -119,7 +118,7 @@
         begin_incarnation(false);
     }
 
-    /// @param server Whose connections end with each life.
+    /// @param server Its connections are closed at each restart.
     void begin(http_server& server)
     {
         server_ = &server;
@@ -139,7 +138,7 @@
         run_after(io_, microseconds{static_cast<long>(faults_.delay_ms * 1000)},
                   [this, request, done, life = born_ms_]
                   {
-                      // Its connection has ended with the life it came to.
+                      // The connection ended with its incarnation.
                       if (life != born_ms_)
                           return unanswered_.push_back(done);
                       serve(request, done);
@@ -159,7 +158,7 @@
 
     bool chance(double share) { return share > 0 && uniform(random_) < share; }
 
-    /// @param same_id Whether the id is the last life's.
+    /// @param same_id Whether the previous id is reused.
     void begin_incarnation(bool same_id)
     {
         if (!same_id)
@@ -179,7 +178,7 @@
         highest_ended_run_.clear();
     }
 
-    /// Everything running dies, and nobody is told.
+    /// Ends all runs without reporting them.
     void crash()
     {
         const auto now = process_clock().now();
@@ -193,14 +192,13 @@
         for (auto& poll : pending_polls_)
             unanswered_.push_back(std::move(poll.done));
         pending_polls_.clear();
-        // What is held back on its way to this life must not reach the next:
-        // connections end with their process.
+        // Delayed requests to this incarnation must not reach the next one.
         server_->close_idle();
     }
 
     bool is_down() const { return faults_.ended || restarting_; }
 
-    /// A planned end; the next life has the same id.
+    /// Signs off; the next incarnation has the same id.
     void sign_off()
     {
         agent_->send({"DELETE", "/instances/" + instance_, {}, {}, {}},
@@ -216,7 +214,7 @@
         send_heartbeat();
     }
 
-    /// @return This server's clock, ms; slower than true by a share.
+    /// @return This server's clock in ms, slow by the configured share.
     std::int64_t clock_ms(instant now) const
     {
         const auto passed = std::chrono::duration<double, std::milli>(
@@ -233,7 +231,7 @@
                              shown / (1.0 - settings_.slow));
     }
 
-    /// Ends what was due by now, each at its own time.
+    /// Ends all runs that are due, each at its due time.
     void end_due_runs(instant now)
     {
         const bool lapses = deadline_ms_ != 0 && deadline() <= now;
@@ -288,7 +286,7 @@
         const bool is_order = request.target != "/hold";
         if (is_order && chance(faults_.late))
         {
-            // The caller's connection says nothing more.
+            // The caller gets no answer.
             unanswered_.push_back(done);
             const auto wait =
                 static_cast<long>(max_order_delay_ms * uniform(random_));
@@ -306,7 +304,7 @@
         dispatch(request, lost ? [](const http_response&) {} : done);
     }
 
-    /// @param late Whether it comes later than it was sent by this fault.
+    /// @param late Whether the `late` fault delayed the request.
     void dispatch(const http_request& request, const http_responder& done,
                   bool late = false)
     {
@@ -359,7 +357,8 @@
         return answer(200);
     }
 
-    /// An agent that has just answered a heartbeat knows that it leaves.
+    /// Whether the drain time is over and a heartbeat was acknowledged
+    /// recently.
     bool past_drain_time(instant now) const
     {
         return drain_acknowledged_ != instant{} &&
@@ -392,7 +391,7 @@
             std::strtol(spec.c_str() + field.size(), nullptr, 10)};
     }
 
-    /// A lease never becomes shorter, nor longer than its most.
+    /// Extends the lease, up to its longest duration; never shortens it.
     void extend_lease(std::int64_t until, instant now)
     {
         const auto most =
@@ -489,8 +488,8 @@
         run_after(io_, heartbeat_interval, [this] { schedule_heartbeat(); });
     }
 
-    /// Another writer at the agent's address, under this server's id or one of
-    /// its own.
+    /// Sends a heartbeat as another sender would, with this server's id or a
+    /// foreign one.
     void send_foreign_heartbeat()
     {
         const auto now = process_clock().now();
@@ -516,12 +515,12 @@
         if (chance(0.7))
             return send_foreign(id, unreadable[random_() % unreadable.size()],
                                 true);
-        // Well formed: of a stranger, or of a life that has ended.
+        // Valid, but from a foreign server or an ended incarnation.
         account["born"] = born_ms_ - 1000;
         send_foreign(id, json::serialize(account), false);
     }
 
-    /// @param unreadable Whether it must not be answered 2xx.
+    /// @param unreadable Whether a 2xx answer is an error.
     void send_foreign(const std::string& id, std::string body, bool unreadable)
     {
         agent_->send({"PUT",
@@ -537,7 +536,7 @@
                      });
     }
 
-    /// @return This server's account of itself, without its number.
+    /// @return A heartbeat without its sequence number.
     json::object heartbeat_at(instant now) const
     {
         return {{"service", settings_.service},
@@ -657,34 +656,37 @@
         return answer(409, {{"reason", reason}});
     }
 
-    asio::io_context& io_;                  ///< Runs the timers.
-    backend_settings settings_;             ///< Checked.
-    random_engine random_;                  ///< Draws the faults.
-    instant origin_;                        ///< When its clock showed 1,000 ms.
-    std::unique_ptr<http_client> agent_;    ///< Where it registers.
-    backend_faults faults_;                 ///< What goes wrong now.
-    http_server* server_ = nullptr;         ///< Its own.
-    std::uint16_t port_ = 0;                ///< Of that.
-    std::uint64_t instances_ = 0;           ///< So far.
-    std::string instance_;                  ///< Id of this life.
-    std::int64_t born_ms_ = 0;              ///< Its start, Unix ms.
-    bool restarting_ = false;               ///< Between two lives.
-    instant drain_acknowledged_{};          ///< First, of leaving; 0: not.
-    instant heartbeat_acknowledged_{};      ///< Last, of any heartbeat.
-    std::uint64_t fencing_token_ = 0;       ///< Highest token seen.
-    std::int64_t deadline_ms_ = 0;          ///< Of its lease; 0: none.
-    std::uint64_t ends_ = 0;                ///< Listed in this life.
-    std::uint64_t confirmed_ = 0;           ///< Ends taken note of.
-    std::uint64_t sequence_ = 0;            ///< Of its heartbeats.
-    std::uint64_t foreign_ids_ = 0;         ///< Ids of another writer so far.
-    std::uint64_t unreadable_accepted_ = 0; ///< Unreadable ones answered 2xx.
-    std::vector<run_record> runs_;          ///< All of all lives.
-    std::vector<std::size_t> running_;      ///< Places in runs_.
-    std::vector<std::size_t> listed_;       ///< Ends that are not confirmed.
+    asio::io_context& io_;      ///< Runs the timers.
+    backend_settings settings_; ///< Checked.
+    random_engine random_;      ///< Draws the faults.
+    instant origin_;            ///< Time at which its clock shows 1,000 ms.
+    std::unique_ptr<http_client> agent_; ///< Client of the agent.
+    backend_faults faults_;              ///< Current faults.
+    http_server* server_ = nullptr;      ///< HTTP server of this process.
+    std::uint16_t port_ = 0;             ///< Port of `server_`.
+    std::uint64_t instances_ = 0;        ///< Number of instance ids so far.
+    std::string instance_;               ///< Current instance id.
+    std::int64_t born_ms_ = 0;           ///< Start of the incarnation, Unix ms.
+    bool restarting_ = false;      ///< Whether it is between two incarnations.
+    instant drain_acknowledged_{}; ///< First acknowledged drain; 0: none.
+    instant heartbeat_acknowledged_{}; ///< Last acknowledged heartbeat.
+    std::uint64_t fencing_token_ = 0;  ///< Highest fencing token received.
+    std::int64_t deadline_ms_ = 0;     ///< End of the lease; 0: none.
+    std::uint64_t ends_ = 0;           ///< Ends in this incarnation.
+    std::uint64_t confirmed_ = 0;      ///< Ends confirmed by the agent.
+    std::uint64_t sequence_ = 0;       ///< Sequence number of heartbeats.
+    std::uint64_t foreign_ids_ = 0;    ///< Foreign ids used so far.
+    std::uint64_t unreadable_accepted_ =
+        0;                             ///< Invalid heartbeats answered 2xx.
+    std::vector<run_record> runs_;     ///< Runs of all incarnations.
+    std::vector<std::size_t> running_; ///< Indices of active runs in `runs_`.
+    std::vector<std::size_t>
+        listed_; ///< Indices of runs with unconfirmed ends.
     std::map<std::string, std::uint64_t>
-        highest_ended_run_;                   ///< Highest run over.
-    std::vector<pending_poll> pending_polls_; ///< Wait for ends.
-    std::vector<http_responder> unanswered_;  ///< Never called.
+        highest_ended_run_; ///< Highest ended or stopped run by task.
+    std::vector<pending_poll> pending_polls_; ///< Polls that wait for an end.
+    std::vector<http_responder>
+        unanswered_; ///< Responders that are never called.
 };
 
 } // namespace
@@ -695,17 +697,17 @@
     backend_settings settings;
     std::string port_file;
     std::string agent = "127.0.0.1:8166";
-    command_line line("standin-backend", "takes the place of a backend server");
-    line.identifier("name", settings.name, "begins the ids of its lives");
+    command_line line("standin-backend", "stand-in for a backend server");
+    line.identifier("name", settings.name, "prefix of the instance ids");
     line.text("address", limits.address, "IP number to listen on", true);
     line.number<std::uint16_t>("port", limits.port, 0, 65535, "",
                                "0 lets the kernel pick");
     line.text("port-file", port_file, "file that gets the port");
-    line.text("agent", agent, "IP:PORT where it registers", true);
-    line.identifier("service", settings.service, "what it runs");
-    line.identifier("zone", settings.zone, "where it stands");
+    line.text("agent", agent, "IP:PORT of the agent to register with", true);
+    line.identifier("service", settings.service, "service that it runs");
+    line.identifier("zone", settings.zone, "name of its hall");
     line.number<std::uint32_t>("cpu", settings.cpu, 1, 1'000'000, "",
-                               "thousandths of a core");
+                               "capacity in millicores");
     line.number<unsigned>("hold", settings.hold_ms, 200, 60'000, "ms",
                           "longest lease");
     line.number<double>("slow", settings.slow, 0, 0.02, "",
--- a/standins/member_view.cpp
+++ b/standins/member_view.cpp
@@ -18,7 +18,7 @@
 namespace
 {
 
-/// Place of HOST:PORT in a member's row.
+/// Index of HOST:PORT in a member's row.
 constexpr std::size_t where_field = 1;
 
 std::string from_base64(const std::string& text)
--- a/standins/member_view.hpp
+++ b/standins/member_view.hpp
@@ -10,23 +10,23 @@
 namespace glenhollow
 {
 
-/// What one reader of the store is shown: the links of all other members at a
-/// port of its own, where proxies listen that it alone calls. So every link
-/// between two processes can be disturbed, and the programs know nothing of it.
+/// View of the members table for one reader: the addresses of all other members
+/// have the port of proxies that only this reader uses. Tests can so disturb
+/// each link between two processes.
 struct member_view
 {
-    std::uint16_t port = 0;  ///< Where this reader finds the store.
-    std::string host;        ///< The reader's; its own row is left alone.
-    std::uint16_t links = 0; ///< Port at which it is shown the others.
+    std::uint16_t port = 0;  ///< Store port of this reader.
+    std::string host;        ///< Host of the reader; its own row is unchanged.
+    std::uint16_t links = 0; ///< Port shown for other members.
 };
 
+/// Parses a list of views.
 /// @param text PORT=HOST:LINKS[,PORT=HOST:LINKS...], may be empty.
-/// @return The views, or what is wrong with one of them.
 result<std::vector<member_view>> parse_member_views(const std::string& text);
 
-/// @param view Whose.
-/// @param value Of a row of the table of members, in base64.
-/// @return What the reader is shown; a value of another form as it is.
+/// Rewrites the address in a member's row for a reader.
+/// @param value Value of a row of the members table, in base64.
+/// @return The rewritten value; a value of another form is unchanged.
 std::string rewritten_member(const member_view& view, const std::string& value);
 
 } // namespace glenhollow
--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -1,5 +1,5 @@
-// standin-platform: takes the place of the platform's VM list, table service
-// and object store in tests and the demo. Faults are set over HTTP.
+// standin-platform: replaces the platform's VM list, table service and object
+// store in tests and the demo. Faults are set over HTTP.
 #include "glenhollow/command_line/command_line.hpp"
 #include "glenhollow/core/clock.hpp"
 #include "glenhollow/core/port_file.hpp"
@@ -39,12 +39,12 @@
 /// One VM of the list.
 struct listed_vm
 {
-    json::object facts;         ///< As given.
-    std::uint64_t revision = 0; ///< Of its last change.
-    instant visible{};          ///< When the list shows the change.
+    json::object facts;         ///< Fields as announced.
+    std::uint64_t revision = 0; ///< Revision of the last change.
+    instant visible{};          ///< Time at which the list shows the change.
 };
 
-/// The stand-in's state; one thread.
+/// State of the stand-in. Not thread-safe.
 class standin_platform
 {
 public:
@@ -59,8 +59,7 @@
             return set_fault(request, done);
         if (request.target == "/stats")
             return done(stats());
-        // VMs are announced to the platform by whoever starts them, also
-        // while its services are down.
+        // VMs are announced even while the services are down.
         if (request.method == "PUT" && request.target.starts_with("/vms/"))
             return done(put_vm(request));
         if (delay_ms_ <= 0)
@@ -283,19 +282,19 @@
     }
 
     asio::io_context& io_;                       ///< Runs the timers.
-    random_engine random_;                       ///< For lost answers.
+    random_engine random_;                       ///< Draws the lost answers.
     std::map<std::string, listed_vm> vms_;       ///< The VM list.
-    std::uint64_t revision_ = 0;                 ///< Of the VM list.
+    std::uint64_t revision_ = 0;                 ///< Revision of the VM list.
     std::map<std::string, table_row> table_;     ///< The table service.
     std::map<std::string, std::string> objects_; ///< The object store.
-    double delay_ms_ = 0;                        ///< Before each answer.
-    double lose_answers_ = 0;                    ///< Share of writes.
-    double vm_lag_ms_ = 0;                       ///< Of the VM list.
-    bool outage_ = false;                        ///< All services are down.
-    std::uint64_t reads_ = 0;                    ///< Served.
-    std::uint64_t writes_ = 0;                   ///< Served.
-    std::uint64_t failed_ = 0;                   ///< During outages.
-    std::uint64_t lost_ = 0;                     ///< Answers.
+    double delay_ms_ = 0;                        ///< Delay before each answer.
+    double lose_answers_ = 0;  ///< Share of writes without an answer.
+    double vm_lag_ms_ = 0;     ///< Delay of changes in the VM list.
+    bool outage_ = false;      ///< All services are down.
+    std::uint64_t reads_ = 0;  ///< Reads served.
+    std::uint64_t writes_ = 0; ///< Writes served.
+    std::uint64_t failed_ = 0; ///< Calls during outages.
+    std::uint64_t lost_ = 0;   ///< Answers lost.
 };
 
 } // namespace
@@ -305,7 +304,7 @@
     http_server_settings limits;
     std::string port_file;
     std::uint64_t seed = 1;
-    command_line line("standin-platform", "takes the place of the platform");
+    command_line line("standin-platform", "stand-in for the platform");
     line.text("address", limits.address, "IP number to listen on", true);
     line.number<std::uint16_t>("port", limits.port, 0, 65535, "",
                                "0 lets the kernel pick");
--- a/standins/runner.cpp
+++ b/standins/runner.cpp
@@ -1,5 +1,5 @@
-// standin-runner: takes the place of a backend server in tests and the demo.
-// It sleeps or echoes as the payload says and counts every start it makes.
+// standin-runner: replaces a backend server in tests and the demo. It sleeps or
+// echoes as the payload says and counts all starts.
 #include "glenhollow/command_line/command_line.hpp"
 #include "glenhollow/core/clock.hpp"
 #include "glenhollow/core/port_file.hpp"
@@ -27,18 +27,18 @@
 /// Settings of the stand-in.
 struct standin_runner_settings
 {
-    std::string address = "127.0.0.1"; ///< Where to listen.
+    std::string address = "127.0.0.1"; ///< Listening address.
     std::uint16_t port = 0;            ///< 0: the kernel picks.
     std::string port_file;             ///< Gets the port.
-    double slow_share = 0;             ///< Of tasks that take longer.
-    double slow_factor = 10;           ///< How much longer.
-    double fail_share = 0;             ///< Of tasks answered with 500.
-    double hang_share = 0;             ///< Of tasks never answered.
-    double refuse_share = 0;           ///< Of tasks answered not_run.
-    std::uint64_t seed = 1;            ///< Of the shares.
+    double slow_share = 0;             ///< Share of slow tasks.
+    double slow_factor = 10;           ///< Work factor of slow tasks.
+    double fail_share = 0;             ///< Share of tasks answered with 500.
+    double hang_share = 0;             ///< Share of tasks never answered.
+    double refuse_share = 0;           ///< Share of tasks answered not_run.
+    std::uint64_t seed = 1;            ///< Seed of the random faults.
 };
 
-/// The stand-in's state; one thread.
+/// State of the stand-in. Not thread-safe.
 class standin_runner
 {
 public:
@@ -125,11 +125,11 @@
 
     bool chance(double share) { return share > 0 && uniform(random_) < share; }
 
-    asio::io_context& io_;                        ///< Runs the timers.
-    standin_runner_settings settings_;            ///< Faults among them.
-    random_engine random_;                        ///< For the shares.
-    std::map<std::string, std::uint64_t> starts_; ///< By task.
-    std::vector<http_responder> hung_;            ///< Never answered.
+    asio::io_context& io_;             ///< Runs the timers.
+    standin_runner_settings settings_; ///< Settings, including faults.
+    random_engine random_;             ///< Draws the faults.
+    std::map<std::string, std::uint64_t> starts_; ///< Starts by task.
+    std::vector<http_responder> hung_; ///< Tasks that are never answered.
 };
 
 } // namespace
@@ -137,7 +137,7 @@
 int main(int argc, char** argv)
 {
     standin_runner_settings settings;
-    command_line line("standin-runner", "takes the place of a backend server");
+    command_line line("standin-runner", "stand-in for a backend server");
     line.text("address", settings.address, "IP number to listen on", true);
     line.number<std::uint16_t>("port", settings.port, 0, 65535, "",
                                "0 lets the kernel pick");
--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -1,4 +1,4 @@
-// standin-store: takes the place of the platform's store of rows in the soak.
+// standin-store: replaces the platform's row store in the soak test.
 // Faults are set over HTTP.
 #include "glenhollow/command_line/command_line.hpp"
 #include "glenhollow/core/clock.hpp"
@@ -32,45 +32,45 @@
 namespace
 {
 
-/// Rows and parts that one answer holds at most, by the platform's rules.
+/// Most rows and parts in one answer, as on the platform.
 constexpr std::size_t max_rows_per_answer = 500;
 constexpr std::size_t max_parts_per_answer = 1000;
-/// Longest time by which a held back write comes later.
+/// Longest delay of a late write.
 constexpr double max_write_delay_ms = 3000;
-/// Table of which each reader may have a view of its own.
+/// Table whose addresses are rewritten per reader.
 constexpr std::string_view members = "members";
-/// For people and the soak's own calls.
+/// View without rewriting, for the soak test's own calls.
 const member_view unchanged_view;
 
 /// Table, part and key.
 using row_name = std::tuple<std::string, std::string, std::string>;
 
-/// One row, or that it is gone.
+/// Value of a row, or its deletion.
 struct row_state
 {
-    std::string value;     ///< As it came, in base64.
-    std::uint64_t ver = 0; ///< Of its last change.
-    bool gone = false;     ///< Dropped.
+    std::string value;     ///< Value in base64.
+    std::uint64_t ver = 0; ///< Version of the last change.
+    bool gone = false;     ///< Whether the row is deleted.
 };
 
-/// A wait for changes of a table.
+/// A pending poll for changes of a table.
 struct waiting_feed
 {
-    const member_view* view; ///< Of its reader.
-    std::string table;       ///< Which table.
-    std::uint64_t after = 0; ///< Changes above this version.
-    instant until{};         ///< Answers by then, also without changes.
-    http_responder done;     ///< Takes the answer.
+    const member_view* view; ///< View of the reader.
+    std::string table;       ///< Name of the table.
+    std::uint64_t after = 0; ///< Only later versions are returned.
+    instant until{};         ///< Latest time of the answer.
+    http_responder done;     ///< Receives the answer.
 };
 
-/// What goes wrong, as set over HTTP.
+/// Injected faults, set over HTTP.
 struct store_faults
 {
-    double delay_ms = 0;     ///< Before each call is looked at.
+    double delay_ms = 0;     ///< Delay before each call.
     double down = 0;         ///< Share of calls that get 503.
     double too_many = 0;     ///< Share of calls that get 429.
-    double lose_answers = 0; ///< Share of calls done, but not answered.
-    double late = 0;         ///< Share of writes done later, not answered.
+    double lose_answers = 0; ///< Share of executed calls without an answer.
+    double late = 0; ///< Share of writes executed late without an answer.
 };
 
 row_name row_name_of(const json::object& row)
@@ -79,7 +79,7 @@
             string_field(row, "key")};
 }
 
-/// @param view Of the reader; null: the row as it was written.
+/// @param view View of the reader; null: the row as written.
 json::object row_json(const row_name& name, const row_state& row,
                       const member_view* view = nullptr)
 {
@@ -117,7 +117,7 @@
     return out;
 }
 
-/// The stand-in's state; one thread.
+/// State of the stand-in. Not thread-safe.
 class standin_store final
 {
 public:
@@ -126,7 +126,7 @@
     {
     }
 
-    /// @param view Of the caller; outlives the store.
+    /// @param view View of the caller; must outlive the store.
     void handle(const member_view& view, const http_request& request,
                 const http_responder& done)
     {
@@ -138,7 +138,7 @@
                   [this, &view, request, done] { serve(view, request, done); });
     }
 
-    /// Answers the waits that are over.
+    /// Answers polls whose wait has ended.
     void tick()
     {
         const auto now = process_clock().now();
@@ -166,7 +166,7 @@
             return done(answer({}, 429));
         if (request.method == "POST" && chance(faults_.late))
         {
-            // The caller's connection says nothing more.
+            // The caller gets no answer.
             unanswered_.push_back(done);
             const auto wait =
                 static_cast<long>(max_write_delay_ms * uniform(random_));
@@ -360,15 +360,17 @@
             .count();
     }
 
-    asio::io_context& io_;               ///< Runs the timers.
-    random_engine random_;               ///< Draws the faults.
-    store_faults faults_;                ///< What goes wrong now.
-    std::map<row_name, row_state> rows_; ///< All rows.
+    asio::io_context& io_;                                ///< Runs the timers.
+    random_engine random_;                                ///< Draws the faults.
+    store_faults faults_;                                 ///< Current faults.
+    std::map<row_name, row_state> rows_;                  ///< All rows.
     std::vector<std::pair<row_name, row_state>> history_; ///< All changes.
-    std::uint64_t ver_ = 0;                               ///< The newest.
-    std::uint64_t oldest_version_ = 0;       ///< History up to it is gone.
-    std::vector<waiting_feed> feeds_;        ///< Waits for changes.
-    std::vector<http_responder> unanswered_; ///< Never called.
+    std::uint64_t ver_ = 0;                               ///< Newest version.
+    std::uint64_t oldest_version_ =
+        0; ///< Changes up to this version are dropped.
+    std::vector<waiting_feed> feeds_; ///< Pending polls.
+    std::vector<http_responder>
+        unanswered_; ///< Responders that are never called.
 };
 
 } // namespace
@@ -379,7 +381,7 @@
     std::string port_file;
     std::string views_text;
     std::uint64_t seed = 1;
-    command_line line("standin-store", "takes the place of the store of rows");
+    command_line line("standin-store", "stand-in for the row store");
     line.text("address", limits.address, "IP number to listen on", true);
     line.number<std::uint16_t>("port", limits.port, 0, 65535, "",
                                "0 lets the kernel pick");
--- a/tests/unit/adapter/caller_body_tests.cpp
+++ b/tests/unit/adapter/caller_body_tests.cpp
@@ -1,7 +1,5 @@
-// Bodies of callers that nobody meant so. Before, a number of a wrong type was
-// taken for 0, and a larger one than 32 bits for the largest of these: a task
-// that asked for 4,294,967,295 of a processor was counted as less than nothing
-// with what ran already, and was started where there was no room.
+// Guards against invalid request bodies that are read as 0 or as a clamped
+// number, which would start tasks without enough capacity.
 #include "unit/adapter/client_handler_fixture.hpp"
 
 #include <catch2/catch.hpp>
@@ -20,7 +18,7 @@
     R"("constraints":"a","affinity":"r1-3"},)"
     R"({"count":3,"cpu":200,"after":[0]}]})";
 
-/// One change to the body: the field that is told, what was, what comes.
+/// A replacement that makes the body invalid, and the field named in the error.
 struct bad_change
 {
     std::string field;
@@ -89,7 +87,7 @@
 
 } // namespace
 
-TEST_CASE("a body is read as it was meant, unknown fields are passed over")
+TEST_CASE("a valid body is decoded and unknown fields are ignored")
 {
     caller_body_fixture world;
     CHECK(world.call("POST", job_path, good_body).status == 200);
@@ -106,7 +104,7 @@
     CHECK(job.steps[1].after == std::vector<std::uint32_t>{0});
 }
 
-TEST_CASE("what is 0, false or empty may be there or be left out")
+TEST_CASE("fields that are 0, false or empty are optional")
 {
     for (const auto* body :
          {R"({"steps":[{"count":1}]})",
@@ -124,7 +122,8 @@
     }
 }
 
-TEST_CASE("a wrong field gets 400 with its name and range, and nothing runs")
+TEST_CASE(
+    "an invalid field gets 400 with its name and range and submits no job")
 {
     for (const auto& bad : bad_bodies)
     {
@@ -140,7 +139,7 @@
     }
 }
 
-TEST_CASE("noise in place of a body gets 400, and nothing runs")
+TEST_CASE("a malformed body gets 400 and submits no job")
 {
     const std::string deep = R"({"steps":[{"count":1,"x":)" +
                              std::string(100, '[') + "1" +
@@ -159,7 +158,7 @@
     }
 }
 
-TEST_CASE("steps and tasks are bounded, one more is refused whole")
+TEST_CASE("a job with too many steps or tasks is refused")
 {
     caller_body_fixture world;
     CHECK(world.call("POST", job_path, many_steps(1001)).status == 400);
@@ -175,7 +174,7 @@
             .status == 200);
 }
 
-TEST_CASE("no estimates and no patience make a time that can't be told")
+TEST_CASE("large estimates and objectives do not overflow the job's times")
 {
     caller_body_fixture world;
     world.jobs.queues = {};
--- a/tests/unit/adapter/catalog_checks_tests.cpp
+++ b/tests/unit/adapter/catalog_checks_tests.cpp
@@ -1,7 +1,5 @@
-// Configurations that nobody meant so. Before, a number of a wrong type was
-// taken for 0 and a large one was cut to 32 bits: a queue whose priority was
-// written as a text went before all others, and one with 4,294,967,297 attempts
-// had a single one.
+// Guards against invalid configurations that are read as 0 or truncated to 32
+// bits and so change priorities and attempts.
 #include "glenhollow/durable/configuration_tracker.hpp"
 #include "platform/catalog_format.hpp"
 
@@ -25,7 +23,8 @@
     R"("services":[{"name":"s-1"},{"name":"s-2","tls":false}],)"
     R"("limits":{"max_body_bytes":2000},"later":[]})";
 
-/// One change to the document: the field that is told, what was, what comes.
+/// A replacement that makes the document invalid, and the field named in the
+/// error.
 struct bad_change
 {
     std::string field;
@@ -84,7 +83,8 @@
 
 } // namespace
 
-TEST_CASE("a configuration is read as it was meant, with what may be missing")
+TEST_CASE(
+    "a valid configuration is decoded, with optional fields absent or present")
 {
     const auto read = platform::parse_catalog(good);
     REQUIRE(read);
@@ -109,7 +109,8 @@
     }
 }
 
-TEST_CASE("a configuration with a wrong field is refused and names it")
+TEST_CASE(
+    "a configuration with an invalid field is refused and the error names it")
 {
     for (const auto& bad : bad_documents)
     {
@@ -123,7 +124,7 @@
     }
 }
 
-TEST_CASE("a refused configuration leaves the one in force, and none reverts")
+TEST_CASE("a refused or older configuration leaves the current one in force")
 {
     manual_clock clock;
     std::deque<std::function<void()>> later;
--- a/tests/unit/adapter/catalog_format_tests.cpp
+++ b/tests/unit/adapter/catalog_format_tests.cpp
@@ -9,8 +9,7 @@
 namespace
 {
 
-/// @param routes How many.
-/// @return A document, some 170 bytes a route.
+/// @return A document with that number of routes.
 std::string document_of(std::size_t routes)
 {
     std::string text = R"({"version":7,"routes":[)";
@@ -29,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("a large configuration is read in short slices, whole")
+TEST_CASE("a large configuration is read completely, in short slices")
 {
     const auto document = document_of(1440);
     const auto reading = platform::make_catalog_reader(document);
@@ -57,7 +56,7 @@
     CHECK(catalog.find("h1.example", "/p0/x") == nullptr);
 }
 
-TEST_CASE("a configuration with a fault is refused wherever the fault lies")
+TEST_CASE("an invalid configuration is refused wherever the error is")
 {
     auto document = document_of(1440);
     CHECK_FALSE(platform::parse_catalog(document.substr(0, 100'000)));
--- a/tests/unit/adapter/client_handler_fixture.hpp
+++ b/tests/unit/adapter/client_handler_fixture.hpp
@@ -14,7 +14,7 @@
      "priority":2,"max_attempts":3,"stretch":1.6,"target_latency_ms":60}],
     "services":[],"limits":{"max_body_bytes":2000}})";
 
-/// Keeps what the adapter asks.
+/// Records the calls of the request handler.
 class fake_jobs final : public durable_jobs
 {
 public:
@@ -50,7 +50,7 @@
     int withdrawn = 0;
 };
 
-/// The front over fake jobs.
+/// A request handler with a fake job service.
 struct client_handler_fixture
 {
     client_handler_fixture()
@@ -77,7 +77,7 @@
     platform::client_request_handler front{jobs};
 };
 
-/// Of a job.
+/// Path of a job.
 inline constexpr auto job_path = "/x/5c0e7a21d94b36f8";
 
 } // namespace glenhollow
--- a/tests/unit/adapter/client_request_handler_tests.cpp
+++ b/tests/unit/adapter/client_request_handler_tests.cpp
@@ -16,7 +16,7 @@
     CHECK_FALSE(platform::parse_catalog(R"({"version":1,"routes":3})"));
 }
 
-TEST_CASE("a submission becomes a job, and its answer a status")
+TEST_CASE("a submission is decoded to a job and its result to a status")
 {
     client_handler_fixture world;
     const auto got =
@@ -32,7 +32,7 @@
     CHECK(world.jobs.submitted->expiry_ms > 0);
 }
 
-TEST_CASE("refusals say when to come back, unknown ends say nothing")
+TEST_CASE("refusals carry Retry-After and unknown outcomes get 504")
 {
     client_handler_fixture world;
     const std::string body = R"({"spec":"s","steps":[{"count":1}]})";
@@ -47,7 +47,7 @@
     CHECK(world.call("GET", job_path).status == 410);
 }
 
-TEST_CASE("bad input gets its own answer and runs nothing")
+TEST_CASE("invalid requests get their own status and submit no job")
 {
     client_handler_fixture world;
     const auto status = [&world](std::string body)
@@ -65,14 +65,14 @@
     CHECK_FALSE(world.jobs.submitted);
 }
 
-TEST_CASE("without a configuration every call is told to come back")
+TEST_CASE("without a configuration every request gets 503")
 {
     client_handler_fixture world;
     world.jobs.queues = {};
     CHECK(world.call("GET", job_path).status == 503);
 }
 
-TEST_CASE("state, cancel and the queue's count reach the product")
+TEST_CASE("state, cancel and the pending count use the job service")
 {
     client_handler_fixture world;
     CHECK(world.call("GET", job_path).body == R"({"state":"running"})");
--- a/tests/unit/adapter/configuration_burst_tests.cpp
+++ b/tests/unit/adapter/configuration_burst_tests.cpp
@@ -12,8 +12,7 @@
 namespace
 {
 
-/// @param version Of the document.
-/// @param routes How many.
+/// @return A document of that version with that number of routes.
 std::string document_of(std::uint64_t version, std::size_t routes)
 {
     std::string text =
@@ -31,7 +30,7 @@
     return text + R"(],"services":[]})";
 }
 
-/// An entry of one thread: a configuration keeper and callers.
+/// A configuration tracker and a request handler on one thread.
 struct entry_fixture final : durable_jobs
 {
     const queue_catalog& catalog() const override { return tracker.catalog(); }
@@ -48,7 +47,7 @@
     void state(job_id, job_reply_handler) override {}
     std::uint32_t pending(const std::string&) const override { return 0; }
 
-    /// Runs the work that is ready now, in order.
+    /// Runs the work that is queued now, in order.
     void round()
     {
         auto ready = std::exchange(later, {});
@@ -87,7 +86,7 @@
 
 } // namespace
 
-TEST_CASE("1,400 routes more during a burst: requests go on between slices")
+TEST_CASE("requests are served while a large configuration is read")
 {
     entry_fixture world;
     world.tracker.offer_from_store(document_of(4, 45));
@@ -96,7 +95,7 @@
     std::minstd_rand random(7);
     std::uniform_int_distribution<std::size_t> old_route(0, 44);
     std::uniform_int_distribution<std::size_t> new_route(45, 1444);
-    // It comes three times at once, as the store and two peers bring it.
+    // The store and two peers deliver the document at the same time.
     const auto document = document_of(7, 1445);
     for (int i = 0; i < 3; ++i)
         world.tracker.offer_from_store(document);
@@ -120,7 +119,7 @@
     CHECK(rounds >= 16);
     CHECK(world.tracker.stats().applied == 2);
     CHECK(world.tracker.stats().repeated == 2);
-    // An older one that arrives late takes nothing back.
+    // An older document that arrives late is ignored.
     world.tracker.offer_from_store(document_of(6, 45));
     while (!world.later.empty())
         world.round();
--- a/tests/unit/adapter/early_requests_tests.cpp
+++ b/tests/unit/adapter/early_requests_tests.cpp
@@ -1,4 +1,4 @@
-// What comes to an entry before its first configuration.
+// Requests that reach an entry before its first configuration.
 #include "platform/catalog_format.hpp"
 #include "platform/client_request_handler.hpp"
 #include "platform/early_requests.hpp"
@@ -22,7 +22,7 @@
 constexpr auto body =
     R"({"spec":"s","steps":[{"count":2,"cpu":1600,"estimate_ms":1000}],"best_effort":true})";
 
-/// Takes all jobs and answers none.
+/// Accepts all jobs and answers none.
 class pending_jobs final : public durable_jobs
 {
 public:
@@ -44,7 +44,7 @@
     int withdrawn = 0;
 };
 
-/// An entry's front that has just started.
+/// A request handler that has just started.
 struct early_requests_fixture
 {
     explicit early_requests_fixture(std::size_t max_requests = 256)
@@ -84,7 +84,7 @@
 
 TEST_CASE("a request before the first configuration waits for it")
 {
-    // Found where all VMs had lost power: 80 of 136 refusals after it.
+
     early_requests_fixture world;
     world.post();
     world.loop.advance(milliseconds{100});
@@ -95,10 +95,10 @@
     REQUIRE(world.jobs.submitted.size() == 1);
     const auto& job = world.jobs.submitted.front();
     CHECK(job.queue == "r-1");
-    // Its client's patience began when it came.
+    // The client's timeout counts from the arrival.
     CHECK(job.expiry_ms - job.accepted_ms <= 1800);
     CHECK(job.expiry_ms - job.accepted_ms >= 1780);
-    // So did the time by which it is expected, 60 ms and 1.6 times 1 s.
+    // So does the latency objective: 60 ms plus 1.6 times 1 s.
     CHECK(job.objective_ms - job.accepted_ms <= 1560);
     REQUIRE(world.close_connection);
     world.close_connection();
@@ -107,21 +107,21 @@
     CHECK(world.early.stats().refused == 0);
 }
 
-TEST_CASE("without a configuration in time a request is refused, as are later")
+TEST_CASE("requests without a configuration are refused after the warm-up")
 {
     early_requests_fixture world;
     world.post();
     world.loop.advance(milliseconds{520});
     REQUIRE(world.answers.size() == 1);
     CHECK(world.answers.front().status == 503);
-    world.post(); // The store is down, and nobody knows for how long.
+    world.post(); // The store is still down.
     REQUIRE(world.answers.size() == 2);
     CHECK(world.answers.back().status == 503);
     CHECK(world.early.stats().held == 1);
     CHECK(world.early.stats().refused == 1);
 }
 
-TEST_CASE("early requests are bounded")
+TEST_CASE("the number of held requests is bounded")
 {
     early_requests_fixture world(2);
     world.post();
@@ -135,7 +135,7 @@
     CHECK(world.jobs.submitted.size() == 2);
 }
 
-TEST_CASE("an early request whose client has left is not run")
+TEST_CASE("an early request of a disconnected client is not submitted")
 {
     early_requests_fixture world;
     world.post();
@@ -147,7 +147,7 @@
     CHECK(world.early.stats().left == 1);
 }
 
-TEST_CASE("with a configuration nothing is held")
+TEST_CASE("no request is held once a configuration is in force")
 {
     early_requests_fixture world;
     world.configure();
--- a/tests/unit/platform/circuit_breaker_tests.cpp
+++ b/tests/unit/platform/circuit_breaker_tests.cpp
@@ -4,7 +4,8 @@
 
 using namespace glenhollow;
 
-TEST_CASE("a breaker opens after failures and tries once after each pause")
+TEST_CASE(
+    "a breaker opens after failures and allows one call after each backoff")
 {
     circuit_breaker breaker({});
     instant now = seconds{10};
@@ -19,7 +20,7 @@
     REQUIRE(breaker.allow(now));
     REQUIRE_FALSE(breaker.allow(now));
     breaker.note(false, now);
-    // The pause has doubled.
+    // The backoff has doubled.
     REQUIRE_FALSE(breaker.allow(now + milliseconds{999}));
     REQUIRE(breaker.allow(now + milliseconds{1000}));
     breaker.note(true, now);
@@ -27,7 +28,7 @@
     REQUIRE(breaker.allow(now));
 }
 
-TEST_CASE("an hour of outage costs a call each few seconds at most")
+TEST_CASE("calls during a long outage are limited by the backoff")
 {
     circuit_breaker breaker({});
     int calls = 0;
--- a/tests/unit/platform/foreign_input_tests.cpp
+++ b/tests/unit/platform/foreign_input_tests.cpp
@@ -1,5 +1,5 @@
-// What comes from outside and can't be read: it is refused with its field, and
-// what was known to be good holds.
+// Guards against invalid external input: it is rejected with the field named,
+// and the known state stays unchanged.
 #include "glenhollow/core/random.hpp"
 #include "platform/rows_format.hpp"
 #include "platform/run_lists_format.hpp"
@@ -41,7 +41,7 @@
     return text.replace(at, from.size(), to);
 }
 
-/// One change to a body: the field that is told, what was, what comes instead.
+/// A replacement that makes a body invalid, and the field named in the error.
 struct bad_change
 {
     std::string field;
@@ -79,7 +79,7 @@
      R"("cold_remaining_ms":"x")"},
 };
 
-/// Bodies of which nothing can be read.
+/// Bodies that cannot be parsed.
 std::vector<std::string> malformed_bodies()
 {
     return {"",
@@ -174,7 +174,7 @@
 
 } // namespace
 
-TEST_CASE("a heartbeat is read as it was meant")
+TEST_CASE("a valid heartbeat is decoded")
 {
     const auto received =
         decode_heartbeat("server-1", good_heartbeat, "service-1");
@@ -193,7 +193,7 @@
     CHECK_FALSE(received.value().times.remaining);
 }
 
-TEST_CASE("a field that is not known, or a whole number as 4.0, is no error")
+TEST_CASE("unknown fields and integers written as 4.0 are accepted")
 {
     CHECK(decode_heartbeat("server-1",
                            replaced(good_heartbeat, R"("slots":8)",
@@ -206,7 +206,7 @@
     CHECK(received.value().account.sequence == 4);
 }
 
-TEST_CASE("a heartbeat with a wrong field is refused and names it")
+TEST_CASE("a heartbeat with an invalid field is rejected with its name")
 {
     for (const auto& bad : bad_heartbeats)
     {
@@ -223,7 +223,7 @@
     CHECK_FALSE(decode_heartbeat(std::string(201, 'x'), good_heartbeat, {}));
 }
 
-TEST_CASE("what can't be read names no server, and the known one holds")
+TEST_CASE("an invalid heartbeat leaves the known server unchanged")
 {
     for (const auto* id : {"server-1", "server-2"})
     {
@@ -246,7 +246,7 @@
     }
 }
 
-TEST_CASE("what could not be read is counted by the field that was wrong")
+TEST_CASE("invalid heartbeats are counted by field")
 {
     known_server_fixture world;
     world.put("server-2", "{");
@@ -261,7 +261,7 @@
           std::string::npos);
 }
 
-TEST_CASE("a good account under a foreign id is borne out by nobody")
+TEST_CASE("a valid heartbeat under a foreign id is not adopted")
 {
     known_server_fixture world;
     CHECK(world.put("server-2", good_heartbeat) == 200);
@@ -270,7 +270,7 @@
     CHECK(world.manager.stats().stale_registrations == 1);
 }
 
-TEST_CASE("lists of runs are read whole or not at all")
+TEST_CASE("run lists with an invalid row are rejected")
 {
     const auto good = decode_run_lists(good_lists);
     REQUIRE(good);
@@ -310,7 +310,7 @@
         CHECK_FALSE(decode_run_lists(body));
 }
 
-TEST_CASE("an end whose manner is unknown is an end, and a foreign task none")
+TEST_CASE("an unknown outcome is an end and a foreign task is skipped")
 {
     const auto odd =
         decode_run_lists(replaced(good_lists, R"("done")", R"("evaporated")"));
@@ -323,7 +323,7 @@
     CHECK(foreign.value().foreign == 1);
 }
 
-TEST_CASE("answers of the store are read whole or not at all")
+TEST_CASE("store answers with an invalid row are rejected")
 {
     const auto good = decode_rows(good_rows);
     REQUIRE(good);
@@ -357,7 +357,7 @@
     }
 }
 
-TEST_CASE("a commit without a version that can be one is not taken for made")
+TEST_CASE("a commit answer without a valid version is rejected")
 {
     CHECK(decode_commit(R"({"ver":531,"now_ms":5})").value() == 531);
     for (const auto* body : {"", "{}", "[]", R"({"ver":0})", R"({"ver":"531"})",
@@ -368,13 +368,13 @@
     }
 }
 
-TEST_CASE("an error names the whole as the body")
+TEST_CASE("an error of the whole body names the body")
 {
     CHECK(decode_rows("{").error().field_path() == "body");
     CHECK(decode_rows("{}").error().field_path() == "rows");
 }
 
-TEST_CASE("the store's bytes come back as they went in")
+TEST_CASE("base64 values are decoded to the original bytes")
 {
     random_engine random(5);
     for (std::size_t length = 0; length < 200; ++length)
@@ -390,10 +390,8 @@
     }
 }
 
-// An entry ended as it read a row of another writer. The value held nothing but
-// padding; all of it was taken off a length of three bytes, which wrapped, and
-// the text could not be made so long. A row with the value "====" proved it.
-TEST_CASE("padding that is more than a block's, or stands within, is no base64")
+// Guards against a length underflow for values that consist of padding.
+TEST_CASE("invalid base64 padding is rejected")
 {
     const auto body_with = [](const std::string& value) {
         return R"({"rows":[{"table":"t","key":"k","value":")" + value +
@@ -418,7 +416,7 @@
     }
 }
 
-TEST_CASE("changed bytes of another sender leave the known server as it is")
+TEST_CASE("mutated heartbeats of another id do not change the server")
 {
     random_engine random(7);
     known_server_fixture world;
@@ -430,10 +428,10 @@
         world.run(milliseconds{10});
         REQUIRE(world.server_unchanged());
     }
-    CHECK(taken > 0); // Some are good accounts still.
+    CHECK(taken > 0); // Some mutations are still valid.
 }
 
-TEST_CASE("changed bytes are read or refused, whatever they are")
+TEST_CASE("mutated input is decoded or rejected")
 {
     random_engine random(11);
     std::size_t read = 0;
--- a/tests/unit/platform/restarted_server_tests.cpp
+++ b/tests/unit/platform/restarted_server_tests.cpp
@@ -1,13 +1,6 @@
-// Users saw tasks begin at a backend server that had said it leaves, 2.1 s
-// after that was acknowledged (2 s are allowed), and over a tenth of the short
-// requests fail. Order of events: the server ended without a word; it ran again
-// under the id that it had, with heartbeats, ends and clock counted anew; all
-// of its runs were held to have lapsed and ran again elsewhere; it said that it
-// leaves, was answered 200, and got work until it signed off. Cause: what an
-// agent remembers of a backend server was filed under the id alone. The
-// evidence: after the restart no line of a registration or of draining, 180
-// runs `vanished` in 6 s with `done` unmoved, and as many ends swallowed as the
-// first life had listed (226 of another server, then `done` rose again).
+// Guards against state of an ended incarnation being applied to the next one
+// with the same id: lost ends, ignored drains, and tasks sent to a draining
+// backend server.
 #include "platform/server_registration.hpp"
 #include "unit/support/fake_runner_port.hpp"
 
@@ -22,7 +15,7 @@
 constexpr std::int64_t first_born = 1'750'000'000'000;
 constexpr std::int64_t second_born = first_born + 60'000;
 
-/// An agent and a backend server that keeps its id when it runs again.
+/// An agent and a backend server that keeps its id across restarts.
 struct restart_fixture
 {
     restart_fixture()
@@ -33,7 +26,7 @@
         manager.begin();
     }
 
-    /// A heartbeat as it comes.
+    /// Sends a heartbeat to the agent.
     unsigned send_heartbeat(std::int64_t born, std::uint64_t sequence,
                             const std::string& state,
                             const std::string& more = {})
@@ -91,7 +84,8 @@
         manager.order(order, entry_lease);
     }
 
-    /// The first life has done three tasks, and all of that is confirmed.
+    /// Runs three tasks in the first incarnation until their ends are
+    /// confirmed.
     void run_first_incarnation()
     {
         send_heartbeat(first_born, 40, "ready");
@@ -108,7 +102,7 @@
         reported_ends.clear();
     }
 
-    /// Its next life has registered and answers.
+    /// Restarts the server and registers the second incarnation.
     void start_second_incarnation()
     {
         server.restart(second_born);
@@ -123,12 +117,13 @@
     fake_backend_server server{loop};
     run_manager manager{loop.clock, server, loop.delay(), 1000, {}};
     platform::server_registration registration{manager};
-    std::vector<run_end> reported_ends; ///< To the entry, which confirmed them.
+    std::vector<run_end>
+        reported_ends; ///< Ends reported to the entry and confirmed.
 };
 
 } // namespace
 
-TEST_CASE("a server that ran again under its id and leaves gets no work",
+TEST_CASE("a restarted server with the same id that drains gets no tasks",
           "[restarted_server]")
 {
     restart_fixture world;
@@ -144,7 +139,7 @@
     CHECK(world.reported_ends[0].outcome == run_outcome::not_begun);
 }
 
-TEST_CASE("ends of a server that ran again under its id are known",
+TEST_CASE("ends of a restarted server with the same id are reported",
           "[restarted_server]")
 {
     restart_fixture world;
@@ -160,8 +155,9 @@
     CHECK(world.manager.stats().runs_missing == 0);
 }
 
-TEST_CASE("late heartbeats of the life before and of this one change nothing",
-          "[restarted_server]")
+TEST_CASE(
+    "delayed heartbeats of the previous and current incarnation are ignored",
+    "[restarted_server]")
 {
     restart_fixture world;
     world.run_first_incarnation();
@@ -169,16 +165,17 @@
     world.send_heartbeat(second_born, 5, "draining");
     world.run(milliseconds{20});
     world.send_heartbeat(first_born, 41,
-                         "ready"); // Held back since before the end.
+                         "ready"); // Delayed since before the restart.
     world.run(milliseconds{50});
     CHECK(world.manager.account().phase == server_phase::draining);
-    world.send_heartbeat(second_born, 4, "ready"); // Overtaken by the fifth.
+    world.send_heartbeat(second_born, 4,
+                         "ready"); // Overtaken by a newer heartbeat.
     world.run(milliseconds{50});
     CHECK(world.manager.account().phase == server_phase::draining);
     CHECK(world.manager.account().born_ms == second_born);
 }
 
-TEST_CASE("a run without an answer that its server's end took may have run",
+TEST_CASE("an unanswered start that ends with the incarnation may have run",
           "[restarted_server]")
 {
     restart_fixture world;
@@ -195,7 +192,7 @@
     CHECK(world.reported_ends[0].outcome == run_outcome::lapsed);
 }
 
-TEST_CASE("what ran when its server ended has ended, and nothing else",
+TEST_CASE("only runs of the ended incarnation are reported as ended",
           "[restarted_server]")
 {
     restart_fixture world;
@@ -203,7 +200,7 @@
     world.order(7);
     world.run(milliseconds{50});
     world.server.restart(second_born);
-    world.order(8); // The server is back before anybody has looked.
+    world.order(8); // The server restarts before the next poll.
     world.run(milliseconds{300});
     world.send_heartbeat(second_born, 1, "ready");
     world.run(milliseconds{300});
@@ -218,10 +215,10 @@
     CHECK(world.reported_ends[1].outcome == run_outcome::done);
 }
 
-TEST_CASE("a life that has not registered gets no work under the last one's id",
+TEST_CASE("an unregistered incarnation gets no tasks under the previous id",
           "[restarted_server]")
 {
-    // It may be of another kind, with less room.
+    // The new incarnation may have a smaller capacity.
     restart_fixture world;
     world.run_first_incarnation();
     world.server.restart(second_born);
@@ -232,7 +229,7 @@
     CHECK(world.server.running.empty());
 }
 
-TEST_CASE("a notice counts by the clock of the life that gave it",
+TEST_CASE("a leaving notice uses the clock of its own incarnation",
           "[restarted_server]")
 {
     restart_fixture world;
@@ -245,7 +242,7 @@
     CHECK(*world.manager.load().leaves_in <= milliseconds{1800});
 }
 
-TEST_CASE("a sign-off of the life before that comes late ends nothing",
+TEST_CASE("a delayed sign-off of the previous incarnation is ignored",
           "[restarted_server]")
 {
     restart_fixture world;
@@ -260,7 +257,8 @@
     CHECK(world.server.running.size() == 1);
 }
 
-TEST_CASE("a planned sign-off ends the life at once", "[restarted_server]")
+TEST_CASE("a sign-off after a drain ends the incarnation at once",
+          "[restarted_server]")
 {
     restart_fixture world;
     world.run_first_incarnation();
@@ -274,7 +272,7 @@
     CHECK(world.reported_ends[0].outcome == run_outcome::lapsed);
 }
 
-TEST_CASE("a sign-off without notice counts when nobody listens any more",
+TEST_CASE("a sign-off without a drain counts once the server is unreachable",
           "[restarted_server]")
 {
     restart_fixture world;
@@ -289,7 +287,7 @@
     CHECK(world.reported_ends[0].outcome == run_outcome::lapsed);
 }
 
-TEST_CASE("a server that nobody listens at gets no work until it answers",
+TEST_CASE("an unreachable server gets no tasks until it answers",
           "[restarted_server]")
 {
     restart_fixture world;
@@ -302,24 +300,25 @@
     REQUIRE(world.reported_ends.size() == 1);
     CHECK(world.reported_ends[0].outcome == run_outcome::not_begun);
     CHECK(world.server.started.at(42) == 3);
-    world.server.unreachable = false; // The same life: it was cut off.
+    world.server.unreachable =
+        false; // The same incarnation after a network outage.
     world.run(milliseconds{100});
     CHECK(world.manager.account().phase == server_phase::ready);
 }
 
-TEST_CASE("a heartbeat that names no start is not used where lists name one",
+TEST_CASE("a heartbeat without a start time is rejected if run lists have one",
           "[restarted_server]")
 {
     restart_fixture world;
     world.run_first_incarnation();
-    // An answer of 200 would be relied on.
+    // The server would rely on a 200.
     CHECK(world.send_heartbeat(0, 50, "draining") == 400);
     world.run(milliseconds{20});
     CHECK(world.manager.account().phase == server_phase::ready);
     CHECK(world.manager.stats().heartbeats.at(2) == 1);
 }
 
-TEST_CASE("of lives whose start is never told the id alone says which it is",
+TEST_CASE("incarnations without a start time are identified by the id alone",
           "[restarted_server]")
 {
     restart_fixture world;
@@ -333,7 +332,7 @@
     CHECK(world.manager.account().phase == server_phase::draining);
 }
 
-TEST_CASE("a new life that answers no look is taken once the last is silent",
+TEST_CASE("a new incarnation that answers no poll is adopted after a timeout",
           "[restarted_server]")
 {
     restart_fixture world;
@@ -341,16 +340,17 @@
     world.server.silent = true;
     world.send_heartbeat(second_born, 1, "ready");
     world.run(milliseconds{500});
-    CHECK(world.manager.account().born_ms == first_born); // It may live.
+    CHECK(world.manager.account().born_ms ==
+          first_born); // The old one may still run.
     world.run(milliseconds{1500});
     CHECK(world.manager.account().born_ms == second_born);
     CHECK(world.manager.account().phase == server_phase::absent);
 }
 
-TEST_CASE("a start told by the time of day may be earlier than the last one",
+TEST_CASE("a start time may be earlier than that of the previous incarnation",
           "[restarted_server]")
 {
-    // The machine's time was set back between the two lives.
+    // The wall clock was set back between the incarnations.
     restart_fixture world;
     world.run_first_incarnation();
     world.server.restart(first_born - 60'000);
@@ -363,14 +363,14 @@
     CHECK(world.manager.account().phase == server_phase::draining);
 }
 
-TEST_CASE("a heartbeat of a life that has ended does not stand in for the next",
+TEST_CASE("a heartbeat of an ended incarnation does not register the next one",
           "[restarted_server]")
 {
     restart_fixture world;
     world.run_first_incarnation();
     world.server.restart(second_born);
     world.run(milliseconds{200});
-    world.send_heartbeat(first_born, 41, "ready"); // Held back.
+    world.send_heartbeat(first_born, 41, "ready"); // A delayed heartbeat.
     world.run(milliseconds{200});
     CHECK(world.manager.account().phase == server_phase::absent);
     world.send_heartbeat(second_born, 1, "ready");
@@ -379,7 +379,7 @@
     CHECK(world.manager.account().born_ms == second_born);
 }
 
-TEST_CASE("a life that ran again is not the one that an agent remembers",
+TEST_CASE("a remembered account does not apply to a new incarnation",
           "[restarted_server]")
 {
     restart_fixture world;
@@ -400,12 +400,12 @@
     CHECK(world.manager.account().capacity.cpu == 4000);
 }
 
-TEST_CASE("what an agent remembers of a life outweighs an older heartbeat",
+TEST_CASE("a remembered account overrides an older heartbeat",
           "[restarted_server]")
 {
     restart_fixture world;
     world.send_heartbeat(first_born, 40,
-                         "ready"); // On its way as the agent began.
+                         "ready"); // Sent before the agent restarted.
     server_account kept = world.manager.account();
     kept.sequence = 42;
     kept.phase = server_phase::draining;
--- a/tests/unit/platform/server_registration_tests.cpp
+++ b/tests/unit/platform/server_registration_tests.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Accounts as they come in, to a manager that has not looked yet.
+/// Sends heartbeats to a manager that has not polled the server yet.
 struct registration_fixture
 {
     unsigned put(const std::string& times)
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("a server that leaves tells how long it stays at least")
+TEST_CASE("the remaining time of a draining server is used")
 {
     registration_fixture world;
     CHECK(world.put(R"("state":"draining","remaining_ms":1800)") == 200);
@@ -45,14 +45,14 @@
     CHECK_FALSE(world.manager.load().leaves_in);
 }
 
-TEST_CASE("a server that stays has no notice, whatever else is told")
+TEST_CASE("the remaining time of a ready server is ignored")
 {
     registration_fixture world;
     world.put(R"("state":"ready","remaining_ms":1800)");
     CHECK_FALSE(world.manager.load().leaves_in);
 }
 
-TEST_CASE("a server that leaves and does not say when gives no notice")
+TEST_CASE("a draining server without a remaining time gives no notice")
 {
     registration_fixture world;
     world.put(R"("state":"draining")");
@@ -60,7 +60,7 @@
     CHECK(world.manager.stats().leaving_notices == 0);
 }
 
-TEST_CASE("a server tells how long it stays slow from its start")
+TEST_CASE("the reported cold time counts down")
 {
     registration_fixture world;
     world.put(R"("state":"ready","cold_remaining_ms":700)");
@@ -69,7 +69,7 @@
     CHECK(world.manager.load().cold == milliseconds{200});
 }
 
-TEST_CASE("times without measure are an hour at most")
+TEST_CASE("reported times are capped at one hour")
 {
     registration_fixture world;
     world.put(R"("state":"draining","remaining_ms":18446744073709551615)");
