--- a/src/glenhollow/configuration/configuration_store.cpp
+++ b/src/glenhollow/configuration/configuration_store.cpp
@@ -21,7 +21,7 @@
 constexpr const char* values_key = "config/values";
 constexpr const char* change_prefix = "config/change/";
 
-std::string time_text(std::int64_t when)
+std::string format_time(std::int64_t when)
 {
     const std::time_t time = when;
     std::tm parts{};
@@ -54,7 +54,7 @@
 {
 }
 
-void configuration_store::take(const configuration& newer)
+void configuration_store::apply_if_newer(const configuration& newer)
 {
     if (newer.version() <= current_.version())
         return;
@@ -66,7 +66,7 @@
 bool configuration_store::offer(const configuration& offered)
 {
     const bool newer = offered.version() > current_.version();
-    take(offered);
+    apply_if_newer(offered);
     return newer;
 }
 
@@ -108,7 +108,7 @@
                             const auto read =
                                 configuration::from_json(row.value);
                             if (read)
-                                take(read.value());
+                                apply_if_newer(read.value());
                             else
                                 outcome = platform_outcome::unknown;
                         }
@@ -120,7 +120,7 @@
                                  std::string by, std::string statement,
                                  answer_handler done)
 {
-    auto open = std::make_shared<open_change>();
+    auto open = std::make_shared<pending_change>();
     std::array<char, 20> hex{};
     std::snprintf(hex.data(), hex.size(), "%016llx",
                   static_cast<unsigned long long>(random_()));
@@ -130,13 +130,13 @@
     open->change.when = wall_nanoseconds() / 1'000'000'000;
     open->change.statement = std::move(statement);
     open->done = std::move(done);
-    open->since = clock_.now();
+    open->submitted_at = clock_.now();
     open->backoff = settings_.first_backoff;
     queue_.push_back(open);
-    step();
+    process_queue();
 }
 
-void configuration_store::step()
+void configuration_store::process_queue()
 {
     if (queue_.empty() || queue_.front()->busy)
         return;
@@ -152,7 +152,7 @@
         read_head(open);
 }
 
-void configuration_store::read_head(const std::shared_ptr<open_change>& open)
+void configuration_store::read_head(const std::shared_ptr<pending_change>& open)
 {
     table_.read_row(
         head_key,
@@ -175,57 +175,57 @@
                     if (values == platform_outcome::done &&
                         current_.version() >= at.version)
                         return prepare(open, at);
-                    later(open);
+                    schedule_retry(open);
                 });
         });
 }
 
 std::optional<std::string>
-configuration_store::conflict_of(const open_change& open) const
+configuration_store::find_conflict(const pending_change& open) const
 {
     for (const auto& [key, value] : open.change.rows)
     {
         const auto& rows = current_.rows();
         const auto known = rows.find(key);
-        if (known == rows.end() || known->second.version <= *open.base)
+        if (known == rows.end() || known->second.version <= *open.base_version)
             continue;
         const auto& row = known->second;
         return "conflict with version " + std::to_string(row.version) + " by " +
-               row.by + " at " + time_text(row.when) + ": " + key + " is now " +
-               (row.value.empty() ? "unset" : row.value);
+               row.by + " at " + format_time(row.when) + ": " + key +
+               " is now " + (row.value.empty() ? "unset" : row.value);
     }
     return std::nullopt;
 }
 
-void configuration_store::prepare(const std::shared_ptr<open_change>& open,
+void configuration_store::prepare(const std::shared_ptr<pending_change>& open,
                                   const head& at)
 {
     // What an operator races with is what changes after the statement came,
     // not what this entry had not heard of by then.
-    if (!open->base)
-        open->base = current_.version();
-    if (const auto conflict = conflict_of(*open))
+    if (!open->base_version)
+        open->base_version = current_.version();
+    if (const auto conflict = find_conflict(*open))
         return answer(open,
                       {change_state::refused, open->change.id, 0, *conflict});
     // The head read before the values may be older than they are.
     if (at.version < current_.version())
-        return later(open);
+        return schedule_retry(open);
     const auto next = current_.with(open->change);
     open->sent_version = next.version();
-    const std::string facts =
+    const std::string change_record =
         json::serialize(json::object{{"version", next.version()},
                                      {"change", open->change.id},
                                      {"by", open->change.by},
                                      {"when", open->change.when},
                                      {"statement", open->change.statement}});
     open->sent.conditions = {{head_key, at.row_version}};
-    open->sent.writes = {{head_key, facts},
+    open->sent.writes = {{head_key, change_record},
                          {values_key, next.to_json()},
-                         {change_prefix + open->change.id, facts}};
+                         {change_prefix + open->change.id, change_record}};
     send(open);
 }
 
-void configuration_store::send(const std::shared_ptr<open_change>& open)
+void configuration_store::send(const std::shared_ptr<pending_change>& open)
 {
     table_.transact(
         open->sent,
@@ -241,23 +241,23 @@
                 if (open->in_doubt)
                     return read_back(open);
                 ++open->attempts;
-                return later(open);
+                return schedule_retry(open);
             case platform_outcome::not_sent:
                 if (!open->in_doubt)
                     return answer(open,
                                   {change_state::refused, open->change.id, 0,
                                    "the platform's table is away; nothing was "
                                    "changed"});
-                return later(open);
+                return schedule_retry(open);
             case platform_outcome::missing:
             case platform_outcome::unknown:
                 open->in_doubt = true;
-                return later(open);
+                return schedule_retry(open);
             }
         });
 }
 
-void configuration_store::read_back(const std::shared_ptr<open_change>& open)
+void configuration_store::read_back(const std::shared_ptr<pending_change>& open)
 {
     table_.read_row(change_prefix + open->change.id,
                     [this, open](platform_outcome outcome, const table_row& row)
@@ -267,7 +267,7 @@
                             const auto version = to_head(row).version;
                             // Other changes may have come on top since.
                             if (current_.version() + 1 == version)
-                                take(current_.with(open->change));
+                                apply_if_newer(current_.with(open->change));
                             else
                                 poll();
                             return answer(open, {change_state::accepted,
@@ -280,14 +280,15 @@
                             // attempt is safe.
                             open->in_doubt = false;
                             ++open->attempts;
-                            return later(open);
+                            return schedule_retry(open);
                         }
                         open->in_doubt = true;
-                        later(open);
+                        schedule_retry(open);
                     });
 }
 
-void configuration_store::later(const std::shared_ptr<open_change>& open)
+void configuration_store::schedule_retry(
+    const std::shared_ptr<pending_change>& open)
 {
     open->busy = false;
     if (!open->in_doubt && open->attempts >= settings_.most_attempts)
@@ -303,20 +304,20 @@
         open->backoff = std::min(open->backoff * 2, settings_.longest_backoff);
 }
 
-void configuration_store::answer(const std::shared_ptr<open_change>& open,
+void configuration_store::answer(const std::shared_ptr<pending_change>& open,
                                  change_answer answer)
 {
-    settled_[answer.id] = answer;
-    settled_order_.push_back(answer.id);
-    if (settled_order_.size() > settings_.most_settled)
+    answers_[answer.id] = answer;
+    answer_order_.push_back(answer.id);
+    if (answer_order_.size() > settings_.max_remembered_answers)
     {
-        settled_.erase(settled_order_.front());
-        settled_order_.pop_front();
+        answers_.erase(answer_order_.front());
+        answer_order_.pop_front();
     }
     std::erase(queue_, open);
     if (open->done)
         open->done(answer);
-    step();
+    process_queue();
 }
 
 void configuration_store::tick()
@@ -324,20 +325,20 @@
     const instant now = clock_.now();
     for (const auto& open : queue_)
     {
-        if (!open->done || now - open->since < settings_.unknown_after)
+        if (!open->done || now - open->submitted_at < settings_.answer_timeout)
             continue;
         // The operator gets an honest answer; settling goes on.
         const auto done = std::move(open->done);
         open->done = nullptr;
         done({change_state::unknown, open->change.id, 0, ""});
     }
-    step();
+    process_queue();
 }
 
 void configuration_store::ask(const std::string& id, answer_handler done)
 {
-    const auto known = settled_.find(id);
-    if (known != settled_.end())
+    const auto known = answers_.find(id);
+    if (known != answers_.end())
         return done(known->second);
     const bool open =
         std::any_of(queue_.begin(), queue_.end(),
--- a/src/glenhollow/configuration/configuration_store.hpp
+++ b/src/glenhollow/configuration/configuration_store.hpp
@@ -48,11 +48,11 @@
 struct configuration_store_settings
 {
     std::string entry = "entry";                ///< Names changes.
-    duration unknown_after = seconds{4};        ///< The operator waits so long.
+    duration answer_timeout = seconds{4};       ///< The operator waits so long.
     duration first_backoff = milliseconds{100}; ///< Between attempts.
     duration longest_backoff = seconds{5};      ///< The doubling ends here.
     std::size_t most_attempts = 30;             ///< Lost races of one change.
-    std::size_t most_settled = 1000;            ///< Answers remembered.
+    std::size_t max_remembered_answers = 1000;  ///< Answers remembered.
 };
 
 /// The configuration in force at one entry, changed by compare-and-set in the
@@ -106,23 +106,23 @@
     void tick();
 
     /// @return Changes not yet settled.
-    std::size_t open_changes() const { return queue_.size(); }
+    std::size_t pending_changes() const { return queue_.size(); }
 
 private:
     /// A change on its way.
-    struct open_change
+    struct pending_change
     {
-        configuration_change change;       ///< What to change.
-        std::optional<std::uint64_t> base; ///< Version when it came.
-        answer_handler done;               ///< Null once answered.
-        instant since{};                   ///< When it came.
-        table_transaction sent;            ///< The transaction in doubt.
-        std::uint64_t sent_version = 0;    ///< That it would make.
-        bool in_doubt = false;             ///< An answer was lost.
-        std::size_t attempts = 0;          ///< Lost races.
-        duration backoff{};                ///< Before the next attempt.
-        instant retry_at{};                ///< When that is, or 0.
-        bool busy = false;                 ///< A call is under way.
+        configuration_change change;               ///< What to change.
+        std::optional<std::uint64_t> base_version; ///< Version when it came.
+        answer_handler done;                       ///< Null once answered.
+        instant submitted_at{};                    ///< When it came.
+        table_transaction sent;         ///< The transaction in doubt.
+        std::uint64_t sent_version = 0; ///< That it would make.
+        bool in_doubt = false;          ///< An answer was lost.
+        std::size_t attempts = 0;       ///< Lost races.
+        duration backoff{};             ///< Before the next attempt.
+        instant retry_at{};             ///< When that is, or 0.
+        bool busy = false;              ///< A call is under way.
     };
 
     /// The head row as read.
@@ -132,28 +132,29 @@
         std::uint64_t version = 0;     ///< Of the configuration.
     };
 
-    void take(const configuration& newer);
+    void apply_if_newer(const configuration& newer);
     static head to_head(const table_row& row);
     void read_values(std::function<void(platform_outcome)> done);
-    void step();
-    void read_head(const std::shared_ptr<open_change>& open);
-    void prepare(const std::shared_ptr<open_change>& open, const head& at);
-    void send(const std::shared_ptr<open_change>& open);
-    void read_back(const std::shared_ptr<open_change>& open);
-    void later(const std::shared_ptr<open_change>& open);
-    void answer(const std::shared_ptr<open_change>& open, change_answer answer);
-    std::optional<std::string> conflict_of(const open_change& open) const;
-
-    table_service& table_;                           ///< The platform's.
-    const clock_source& clock_;                      ///< Of this process.
-    configuration_store_settings settings_;          ///< Limits.
-    random_engine random_;                           ///< Ids and backoffs.
-    configuration current_;                          ///< In force here.
-    changed_handler changed_;                        ///< May be empty.
-    bool polling_ = false;                           ///< A read is under way.
-    std::deque<std::shared_ptr<open_change>> queue_; ///< One at a time.
-    std::map<std::string, change_answer> settled_;   ///< By id.
-    std::deque<std::string> settled_order_;          ///< Oldest first.
+    void process_queue();
+    void read_head(const std::shared_ptr<pending_change>& open);
+    void prepare(const std::shared_ptr<pending_change>& open, const head& at);
+    void send(const std::shared_ptr<pending_change>& open);
+    void read_back(const std::shared_ptr<pending_change>& open);
+    void schedule_retry(const std::shared_ptr<pending_change>& open);
+    void answer(const std::shared_ptr<pending_change>& open,
+                change_answer answer);
+    std::optional<std::string> find_conflict(const pending_change& open) const;
+
+    table_service& table_;                  ///< The platform's.
+    const clock_source& clock_;             ///< Of this process.
+    configuration_store_settings settings_; ///< Limits.
+    random_engine random_;                  ///< Ids and backoffs.
+    configuration current_;                 ///< In force here.
+    changed_handler changed_;               ///< May be empty.
+    bool polling_ = false;                  ///< A read is under way.
+    std::deque<std::shared_ptr<pending_change>> queue_; ///< One at a time.
+    std::map<std::string, change_answer> answers_;      ///< By id.
+    std::deque<std::string> answer_order_;              ///< Oldest first.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/durable/durable_metrics.cpp
+++ b/src/glenhollow/durable/durable_metrics.cpp
@@ -25,7 +25,7 @@
         journal.entries += chain.entries;
         journal.refused += chain.refused;
         journal.unknown += chain.unknown;
-        journal.settled += chain.settled;
+        journal.confirmed_by_head += chain.confirmed_by_head;
         jobs.given_up += one.given_up;
         jobs.withdrawn += one.withdrawn;
         jobs.early += one.early;
@@ -77,7 +77,7 @@
     count("journal_settled_total",
           "Journal transactions without an answer that were later found "
           "committed",
-          journal.settled);
+          journal.confirmed_by_head);
     page.gauge("jobs_open", "Durable jobs that have not ended", open);
 }
 
--- a/src/glenhollow/durable/durable_service.hpp
+++ b/src/glenhollow/durable/durable_service.hpp
@@ -13,7 +13,7 @@
 #include "glenhollow/durable/placement_server.hpp"
 #include "glenhollow/durable/report_budget.hpp"
 #include "glenhollow/hosting/job_handover.hpp"
-#include "glenhollow/journal/watched_store.hpp"
+#include "glenhollow/journal/monitored_store.hpp"
 #include "glenhollow/overlay/agent_directory.hpp"
 #include "glenhollow/overlay/feed_pacing.hpp"
 #include "glenhollow/overlay/session_scope.hpp"
@@ -232,7 +232,7 @@
     boost::asio::io_context& io_;
     const clock_source& clock_;
     durable_service_settings settings_;
-    watched_store store_;
+    monitored_store store_;
     configuration_tracker configuration_tracker_;
     evacuated_halls evacuated_;
     agent_directory directory_; ///< All known agents.
--- a/src/glenhollow/durable/job_coordinator.cpp
+++ b/src/glenhollow/durable/job_coordinator.cpp
@@ -162,7 +162,7 @@
     journal_entry entry;
     entry.puts.push_back({key(jobs_table, job.id), encode_definition(job)});
     entry.droppable = true;
-    entry.done = [this, alive = alive_, id = job.id](journal_verdict verdict)
+    entry.done = [this, alive = alive_, id = job.id](journal_outcome verdict)
     {
         if (*alive)
             accepted(id, verdict);
@@ -332,7 +332,7 @@
     if (chain_)
         return chain_->append(std::move(entry));
     if (entry.done)
-        entry.done(journal_verdict::durable);
+        entry.done(journal_outcome::durable);
 }
 
 std::uint32_t job_coordinator::first_run() const
@@ -340,14 +340,14 @@
     return chain_ ? (epoch_ - 1) * runs_per_epoch : first_memory_run;
 }
 
-void job_coordinator::accepted(job_id id, journal_verdict verdict)
+void job_coordinator::accepted(job_id id, journal_outcome verdict)
 {
     const auto known = jobs_.find(id);
     if (known == jobs_.end())
         return;
     auto waiters = std::exchange(known->second.acceptance_waiters, {});
     job_reply reply;
-    if (verdict == journal_verdict::durable)
+    if (verdict == journal_outcome::durable)
     {
         ++stats_.accepted;
         known->second.accepted = true;
@@ -360,7 +360,7 @@
         jobs_.erase(known);
         for (const auto& end_handler : end_handlers)
             end_handler({job_outcome::not_owner, job_state::queued, {}});
-        reply.outcome = verdict == journal_verdict::not_written
+        reply.outcome = verdict == journal_outcome::not_written
                             ? job_outcome::refused
                             : job_outcome::unknown;
         reply.retry_after = seconds{1};
@@ -565,7 +565,7 @@
     const auto limit =
         dependencies_.wall_ms() - to_ms(settings_.ended_retention);
     journal_entry entry;
-    entry.urgency = journal_urgency::gathered;
+    entry.urgency = journal_urgency::batched;
     while (!ended_order_.empty() && ended_order_.front().first < limit &&
            entry.removes.size() < max_removes)
     {
--- a/src/glenhollow/durable/job_coordinator.hpp
+++ b/src/glenhollow/durable/job_coordinator.hpp
@@ -216,7 +216,7 @@
     bool flushed() const { return chain_->idle(); }
 
     /// @return Whether the last write to the store failed.
-    bool troubled() const { return chain_->troubled(); }
+    bool is_failing() const { return chain_->is_failing(); }
 
     /// @return Number of jobs that have not started, by queue.
     std::map<std::string, std::uint32_t> pending() const;
@@ -319,7 +319,7 @@
     void erase(job_map::iterator job);
     void write(journal_entry entry);
     std::uint32_t first_run() const;
-    void accepted(job_id id, journal_verdict verdict);
+    void accepted(job_id id, journal_outcome verdict);
     run_order order_of(const job_record& record, std::uint32_t task_index,
                        const run_ref& run) const;
     void reconcile_listed_run(const std::string& agent, const listed_run& run);
@@ -339,8 +339,8 @@
     void journal_progress(job_record& record, const std::string& agent,
                           const run_end& end);
     void journal_end(job_record& record, job_state state,
-                     std::function<void(journal_verdict)> on_written);
-    void finish(job_id id, job_state state, journal_verdict verdict);
+                     std::function<void(journal_outcome)> on_written);
+    void finish(job_id id, job_state state, journal_outcome verdict);
     void stop_runs(job_record& record);
     void remember_ended(job_id id, const ended_job& end);
     void restore(loaded_part loaded);
--- a/src/glenhollow/durable/job_coordinator_ends.cpp
+++ b/src/glenhollow/durable/job_coordinator_ends.cpp
@@ -242,9 +242,9 @@
         !unreported_agents_.empty())
         return journal_progress(record, agent, end);
     journal_end(record, job_state::succeeded,
-                [this, alive = alive_, agent, end](journal_verdict verdict)
+                [this, alive = alive_, agent, end](journal_outcome verdict)
                 {
-                    if (*alive && verdict == journal_verdict::durable)
+                    if (*alive && verdict == journal_outcome::durable)
                         dependencies_.task_dispatcher.confirm(agent, end);
                 });
 }
@@ -281,9 +281,9 @@
                 {"agent", agent},
                 {"attempts", task.failures}});
     journal_end(record, job_state::failed,
-                [this, alive = alive_, agent, end](journal_verdict verdict)
+                [this, alive = alive_, agent, end](journal_outcome verdict)
                 {
-                    if (*alive && verdict == journal_verdict::durable)
+                    if (*alive && verdict == journal_outcome::durable)
                         dependencies_.task_dispatcher.confirm(agent, end);
                 });
 }
@@ -293,13 +293,13 @@
                                        const run_end& end)
 {
     journal_entry entry;
-    entry.urgency = journal_urgency::gathered;
+    entry.urgency = journal_urgency::batched;
     if (!record.pending_end_state)
         entry.puts.push_back({key(progress_table, record.job.id),
                               encode_progress(record.progress)});
-    entry.done = [this, alive = alive_, agent, end](journal_verdict verdict)
+    entry.done = [this, alive = alive_, agent, end](journal_outcome verdict)
     {
-        if (*alive && verdict == journal_verdict::durable)
+        if (*alive && verdict == journal_outcome::durable)
             dependencies_.task_dispatcher.confirm(agent, end);
     };
     write(std::move(entry));
@@ -307,7 +307,7 @@
 
 void job_coordinator::journal_end(
     job_record& record, job_state state,
-    std::function<void(journal_verdict)> on_written)
+    std::function<void(journal_outcome)> on_written)
 {
     record.pending_end_state = state;
     stop_runs(record);
@@ -318,7 +318,7 @@
     entry.removes.push_back(key(jobs_table, id));
     entry.removes.push_back(key(progress_table, id));
     entry.done = [this, alive = alive_, id, state,
-                  on_written = std::move(on_written)](journal_verdict verdict)
+                  on_written = std::move(on_written)](journal_outcome verdict)
     {
         if (!*alive)
             return;
@@ -330,14 +330,14 @@
 }
 
 void job_coordinator::finish(job_id id, job_state state,
-                             journal_verdict verdict)
+                             journal_outcome verdict)
 {
     const auto known = jobs_.find(id);
     if (known == jobs_.end())
         return;
     auto waiters = std::exchange(known->second.end_waiters, {});
     job_reply reply{job_outcome::done, state, {}};
-    if (verdict == journal_verdict::durable)
+    if (verdict == journal_outcome::durable)
     {
         const auto now = dependencies_.wall_ms();
         if (now > known->second.job.objective_ms)
--- a/src/glenhollow/durable/table_follower.cpp
+++ b/src/glenhollow/durable/table_follower.cpp
@@ -112,7 +112,7 @@
             notify_current(version);
             return after(settings.min_gap,
                          [version](state& self) { self.follow(version); });
-        case feed_outcome::history_gone:
+        case feed_outcome::history_expired:
             log_change(log_level::info, "feed_history_expired",
                        {{"table", table}});
             return after(settings.min_gap, [](state& self) { self.reload(); });
--- a/src/glenhollow/entry/operator_service.cpp
+++ b/src/glenhollow/entry/operator_service.cpp
@@ -265,7 +265,8 @@
                       {"jobs", sum.jobs},
                       {"queued_tasks", sum.queued},
                       {"links_up", sum.links},
-                      {"platform", plane_.platform().is_away() ? "away" : "up"},
+                      {"platform",
+                       plane_.platform().is_unavailable() ? "away" : "up"},
                       {"config_version", plane_.store().current().version()}});
             done(std::move(rows));
         });
--- a/src/glenhollow/journal/journal_chain.cpp
+++ b/src/glenhollow/journal/journal_chain.cpp
@@ -18,12 +18,12 @@
 constexpr std::string_view journal_table = "journal";
 constexpr std::string_view head_row = "head";
 
-std::size_t rows_of(const journal_entry& entry)
+std::size_t row_count(const journal_entry& entry)
 {
     return entry.puts.size() + entry.removes.size();
 }
 
-std::size_t bytes_of(const journal_entry& entry)
+std::size_t value_bytes(const journal_entry& entry)
 {
     std::size_t total = 0;
     for (const auto& put : entry.puts)
@@ -54,10 +54,10 @@
         head.epoch = json::value_to<std::uint32_t>(fields.at(2));
         head.sequence = json::value_to<std::uint64_t>(fields.at(3));
     }
-    catch (const std::exception& wrong)
+    catch (const std::exception& error)
     {
         return failure{std::string("the head row of ") + row.key.part +
-                       " has a wrong form: " + wrong.what()};
+                       " has a wrong form: " + error.what()};
     }
     return head;
 }
@@ -74,28 +74,28 @@
 
 struct journal_chain::state : std::enable_shared_from_this<state>
 {
-    state(row_store& rows, delay runs_later, part_number number,
-          chain_head claim, const journal_chain_settings& limits,
+    state(row_store& rows, delay scheduler, part_number number,
+          chain_head initial_head, const journal_chain_settings& limits,
           std::function<void()> lost)
-        : store(rows), later(std::move(runs_later)), part(number),
-          end(std::move(claim)), settings(limits), on_lost(std::move(lost)),
-          backoff(limits.first_backoff)
+        : store(rows), schedule(std::move(scheduler)), part(number),
+          end(std::move(initial_head)), settings(limits),
+          on_lost(std::move(lost)), backoff(limits.first_backoff)
     {
     }
 
     row_store& store;                  ///< Where rows lie.
-    delay later;                       ///< Runs delayed work.
+    delay schedule;                    ///< Runs delayed work.
     part_number part;                  ///< Which part.
     chain_head end;                    ///< As last known.
     journal_chain_settings settings;   ///< Limits.
     std::function<void()> on_lost;     ///< Told of the part's loss.
     std::deque<journal_entry> waiting; ///< Not yet sent.
     std::vector<journal_entry> batch;  ///< Of the transaction that is out.
-    bool out = false;                  ///< A transaction is out or to be tried.
+    bool in_flight = false;            ///< A transaction is out or to be tried.
     bool uncertain = false;            ///< A try of it had no answer.
     bool timer_set = false;            ///< A gather timer runs.
     bool lost = false;                 ///< The part is not ours any more.
-    bool troubled = false;             ///< The last try failed.
+    bool is_failing = false;           ///< The last try failed.
     duration backoff;                  ///< Before the next try.
     journal_chain_stats stats;         ///< Counters.
 
@@ -104,25 +104,25 @@
         if (lost)
         {
             if (entry.done)
-                entry.done(journal_verdict::not_written);
+                entry.done(journal_outcome::not_written);
             return;
         }
-        const bool urgent = entry.urgency == journal_urgency::at_once;
+        const bool urgent = entry.urgency == journal_urgency::immediate;
         waiting.push_back(std::move(entry));
-        if (out)
+        if (in_flight)
             return;
         if (urgent)
             return send_next();
         if (timer_set)
             return;
         timer_set = true;
-        later(settings.gather,
-              [self = shared_from_this()]
-              {
-                  self->timer_set = false;
-                  if (!self->out && !self->lost)
-                      self->send_next();
-              });
+        schedule(settings.batch_delay,
+                 [self = shared_from_this()]
+                 {
+                     self->timer_set = false;
+                     if (!self->in_flight && !self->lost)
+                         self->send_next();
+                 });
     }
 
     void send_next()
@@ -133,8 +133,8 @@
         std::size_t bytes = 0;
         while (!waiting.empty())
         {
-            rows += rows_of(waiting.front());
-            bytes += bytes_of(waiting.front());
+            rows += row_count(waiting.front());
+            bytes += value_bytes(waiting.front());
             const bool fits =
                 rows <= max_transaction_rows && bytes <= max_transaction_bytes;
             if (!batch.empty() && !fits)
@@ -148,7 +148,7 @@
 
     void transmit()
     {
-        out = true;
+        in_flight = true;
         ++stats.transactions;
         auto next = end;
         ++next.sequence;
@@ -162,8 +162,8 @@
             else
                 change.removes.push_back(key);
         }
-        store.commit(change, [self = shared_from_this()](commit_result got)
-                     { self->answered(got); });
+        store.commit(change, [self = shared_from_this()](commit_result response)
+                     { self->on_commit_result(response); });
     }
 
     /// The batch's last word on each row; nothing: the row is removed.
@@ -192,51 +192,51 @@
         return rows;
     }
 
-    void answered(const commit_result& got)
+    void on_commit_result(const commit_result& response)
     {
         if (lost)
             return;
-        troubled = got.outcome == store_outcome::refused ||
-                   got.outcome == store_outcome::unknown;
-        switch (got.outcome)
+        is_failing = response.outcome == store_outcome::refused ||
+                     response.outcome == store_outcome::unknown;
+        switch (response.outcome)
         {
         case store_outcome::done:
-            return written(got.version);
+            return on_committed(response.version);
         case store_outcome::conflict:
-            return conflicted(got);
+            return on_conflict(response);
         case store_outcome::refused:
             ++stats.refused;
             if (!uncertain)
-                drop_what_may_be();
-            return try_later();
+                drop_droppable_entries();
+            return schedule_retry();
         case store_outcome::unknown:
             ++stats.unknown;
             uncertain = true;
-            return try_later();
+            return schedule_retry();
         }
     }
 
-    void written(std::uint64_t version)
+    void on_committed(std::uint64_t version)
     {
         end.version = version;
         ++end.sequence;
         backoff = settings.first_backoff;
-        out = false;
-        auto ended = std::exchange(batch, {});
-        stats.entries += ended.size();
-        for (auto& entry : ended)
+        in_flight = false;
+        auto completed = std::exchange(batch, {});
+        stats.entries += completed.size();
+        for (auto& entry : completed)
         {
             if (entry.done)
-                entry.done(journal_verdict::durable);
+                entry.done(journal_outcome::durable);
         }
-        if (!out && !lost)
+        if (!in_flight && !lost)
             send_next();
     }
 
     /// Ours and with the very sequence that was sent: an earlier try was done.
-    void conflicted(const commit_result& got)
+    void on_conflict(const commit_result& response)
     {
-        for (const auto& row : got.current)
+        for (const auto& row : response.current)
         {
             if (!(row.key == head_key(part)))
                 continue;
@@ -245,44 +245,44 @@
                 found.value().epoch == end.epoch &&
                 found.value().sequence == end.sequence + 1)
             {
-                ++stats.settled;
-                return written(row.version);
+                ++stats.confirmed_by_head;
+                return on_committed(row.version);
             }
         }
-        lose();
+        lose_part();
     }
 
-    void lose()
+    void lose_part()
     {
-        give_up();
+        fail_pending();
         if (on_lost)
             on_lost();
     }
 
-    void give_up()
+    void fail_pending()
     {
         lost = true;
-        out = false;
-        const auto verdict =
-            uncertain ? journal_verdict::unknown : journal_verdict::not_written;
-        auto ended = std::exchange(batch, {});
+        in_flight = false;
+        const auto batch_outcome =
+            uncertain ? journal_outcome::unknown : journal_outcome::not_written;
+        auto completed = std::exchange(batch, {});
         auto unsent = std::exchange(waiting, {});
-        for (auto& entry : ended)
+        for (auto& entry : completed)
         {
             if (entry.done)
-                entry.done(verdict);
+                entry.done(batch_outcome);
         }
         for (auto& entry : unsent)
         {
             if (entry.done)
-                entry.done(journal_verdict::not_written);
+                entry.done(journal_outcome::not_written);
         }
     }
 
-    void drop_what_may_be()
+    void drop_droppable_entries()
     {
         std::vector<journal_entry> dropped;
-        const auto sort_out = [&dropped](auto& entries)
+        const auto extract_droppable = [&dropped](auto& entries)
         {
             for (auto& entry : entries)
             {
@@ -292,37 +292,37 @@
             std::erase_if(entries, [](const journal_entry& entry)
                           { return entry.droppable; });
         };
-        sort_out(batch);
-        sort_out(waiting);
+        extract_droppable(batch);
+        extract_droppable(waiting);
         for (auto& entry : dropped)
         {
             if (entry.done)
-                entry.done(journal_verdict::not_written);
+                entry.done(journal_outcome::not_written);
         }
     }
 
-    void try_later()
+    void schedule_retry()
     {
         const auto wait = backoff;
         backoff = std::min(backoff * 2, settings.longest_backoff);
-        later(wait,
-              [self = shared_from_this()]
-              {
-                  if (self->lost)
-                      return;
-                  if (!self->batch.empty())
-                      return self->transmit();
-                  self->out = false;
-                  self->send_next();
-              });
+        schedule(wait,
+                 [self = shared_from_this()]
+                 {
+                     if (self->lost)
+                         return;
+                     if (!self->batch.empty())
+                         return self->transmit();
+                     self->in_flight = false;
+                     self->send_next();
+                 });
     }
 };
 
-journal_chain::journal_chain(row_store& store, delay later, part_number part,
+journal_chain::journal_chain(row_store& store, delay schedule, part_number part,
                              chain_head head,
                              const journal_chain_settings& settings,
                              std::function<void()> on_lost)
-    : state_(std::make_shared<state>(store, std::move(later), part,
+    : state_(std::make_shared<state>(store, std::move(schedule), part,
                                      std::move(head), settings,
                                      std::move(on_lost)))
 {
@@ -344,18 +344,18 @@
     if (state_->lost)
         return;
     // What is out may be done yet.
-    state_->uncertain = state_->uncertain || state_->out;
-    state_->give_up();
+    state_->uncertain = state_->uncertain || state_->in_flight;
+    state_->fail_pending();
 }
 
 bool journal_chain::idle() const
 {
-    return !state_->out && state_->waiting.empty();
+    return !state_->in_flight && state_->waiting.empty();
 }
 
-bool journal_chain::troubled() const
+bool journal_chain::is_failing() const
 {
-    return state_->troubled;
+    return state_->is_failing;
 }
 
 const chain_head& journal_chain::head() const
--- a/src/glenhollow/journal/journal_chain.hpp
+++ b/src/glenhollow/journal/journal_chain.hpp
@@ -44,7 +44,7 @@
 row_key head_key(part_number part);
 
 /// How an entry of the journal ended.
-enum class journal_verdict : std::uint8_t
+enum class journal_outcome : std::uint8_t
 {
     durable,     ///< It is in the store.
     not_written, ///< It is not and never will be.
@@ -52,7 +52,7 @@
 };
 
 template <>
-struct name_table<journal_verdict>
+struct name_table<journal_outcome>
 {
     static constexpr std::array<std::string_view, 3> names{
         "durable", "not_written", "unknown"};
@@ -61,24 +61,24 @@
 /// When an entry should leave.
 enum class journal_urgency : std::uint8_t
 {
-    at_once, ///< With the next transaction, which leaves when none is out.
-    gathered ///< May wait a little for company.
+    immediate, ///< With the next transaction, which leaves when none is out.
+    batched    ///< May wait a little for company.
 };
 
 /// Rows that change together, and who waits for it.
 struct journal_entry
 {
-    std::vector<row_write> puts;                        ///< Rows to write.
-    std::vector<row_key> removes;                       ///< Rows to remove.
-    journal_urgency urgency = journal_urgency::at_once; ///< When.
+    std::vector<row_write> puts;                          ///< Rows to write.
+    std::vector<row_key> removes;                         ///< Rows to remove.
+    journal_urgency urgency = journal_urgency::immediate; ///< When.
     bool droppable = false; ///< While the store turns us away, give it up.
-    std::function<void(journal_verdict)> done; ///< Told the end; may be empty.
+    std::function<void(journal_outcome)> done; ///< Told the end; may be empty.
 };
 
 /// Limits of a chain.
 struct journal_chain_settings
 {
-    duration gather = milliseconds{12};           ///< For `gathered` entries.
+    duration batch_delay = milliseconds{12};      ///< For `gathered` entries.
     duration first_backoff = milliseconds{25};    ///< After a refusal.
     duration longest_backoff = milliseconds{200}; ///< Between tries.
 };
@@ -86,11 +86,11 @@
 /// Counters of a chain.
 struct journal_chain_stats
 {
-    std::uint64_t transactions = 0; ///< Calls made.
-    std::uint64_t entries = 0;      ///< Entries made durable.
-    std::uint64_t refused = 0;      ///< Calls turned away.
-    std::uint64_t unknown = 0;      ///< Calls without an answer.
-    std::uint64_t settled = 0;      ///< Of them, found done by the head.
+    std::uint64_t transactions = 0;      ///< Calls made.
+    std::uint64_t entries = 0;           ///< Entries made durable.
+    std::uint64_t refused = 0;           ///< Calls turned away.
+    std::uint64_t unknown = 0;           ///< Calls without an answer.
+    std::uint64_t confirmed_by_head = 0; ///< Of them, found done by the head.
 };
 
 /// The writer's end of one part's journal: a chain of transactions, each under
@@ -109,7 +109,7 @@
     /// @param head The claim as it was written: version and epoch are ours.
     /// @param settings Limits.
     /// @param on_lost Told once when another entry has taken the part.
-    journal_chain(row_store& store, delay later, part_number part,
+    journal_chain(row_store& store, delay schedule, part_number part,
                   chain_head head, const journal_chain_settings& settings,
                   std::function<void()> on_lost);
     ~journal_chain();
@@ -125,7 +125,7 @@
     bool idle() const;
 
     /// @return Whether the store has refused or not answered the last try.
-    bool troubled() const;
+    bool is_failing() const;
 
     /// @return The chain's end as last known.
     const chain_head& head() const;
--- a/src/glenhollow/journal/watched_store.hpp
+++ b/src/glenhollow/journal/monitored_store.hpp
@@ -1,5 +1,5 @@
-#ifndef GLENHOLLOW_JOURNAL_WATCHED_STORE_HPP
-#define GLENHOLLOW_JOURNAL_WATCHED_STORE_HPP
+#ifndef GLENHOLLOW_JOURNAL_MONITORED_STORE_HPP
+#define GLENHOLLOW_JOURNAL_MONITORED_STORE_HPP
 
 #include "glenhollow/core/clock.hpp"
 #include "glenhollow/journal/row_store.hpp"
@@ -10,14 +10,14 @@
 {
 
 /// Passes calls on and remembers whether the store answers.
-class watched_store final : public row_store
+class monitored_store final : public row_store
 {
 public:
     /// @param clock Outlives it.
     /// @param inner The store; outlives it.
     /// @param patience Failures for so long make the store unreachable.
-    watched_store(const clock_source& clock, row_store& inner,
-                  duration patience);
+    monitored_store(const clock_source& clock, row_store& inner,
+                    duration failure_timeout);
 
     void commit(const row_transaction& change, commit_handler done) override;
     void read(const row_range& range, read_handler done) override;
@@ -38,11 +38,12 @@
         instant failing_since{}; ///< First failure after it; zero: none.
     };
 
-    static void note(const clock_source& clock, state& of, bool good);
+    static void record_result(const clock_source& clock, state& health,
+                              bool succeeded);
 
     const clock_source& clock_;    ///< This process's.
     row_store& inner_;             ///< The store.
-    duration patience_;            ///< See the constructor.
+    duration failure_timeout_;     ///< See the constructor.
     std::shared_ptr<state> state_; ///< What was seen.
 };
 
--- a/src/glenhollow/journal/row_store.hpp
+++ b/src/glenhollow/journal/row_store.hpp
@@ -99,9 +99,9 @@
 /// How a wait for changes ended.
 enum class feed_outcome : std::uint8_t
 {
-    answered,     ///< Rows that changed, perhaps none.
-    history_gone, ///< The store forgot; read the table anew.
-    failed        ///< No answer.
+    answered,        ///< Rows that changed, perhaps none.
+    history_expired, ///< The store forgot; read the table anew.
+    failed           ///< No answer.
 };
 
 /// The end of a wait for changes.
--- a/src/glenhollow/platform/platform_client.cpp
+++ b/src/glenhollow/platform/platform_client.cpp
@@ -18,7 +18,7 @@
 constexpr unsigned status_conflict = 409;
 
 /// @return The object in a body, empty where it is not one.
-json::object object_of(const std::string& body)
+json::object parse_object(const std::string& body)
 {
     boost::system::error_code ec;
     auto parsed = json::parse(body, ec);
@@ -77,13 +77,15 @@
     calls.call_timeout = settings.call_timeout;
     http_ = http_client::create(io, calls);
     const instant now = clock_.now();
-    reads_.configure(settings.reads_per_second,
-                     settings.reads_per_second * settings.burst_seconds, now);
-    writes_.configure(settings.writes_per_second,
-                      settings.writes_per_second * settings.burst_seconds, now);
+    read_bucket_.configure(settings.reads_per_second,
+                           settings.reads_per_second * settings.burst_seconds,
+                           now);
+    write_bucket_.configure(settings.writes_per_second,
+                            settings.writes_per_second * settings.burst_seconds,
+                            now);
 }
 
-platform_outcome platform_client::judge(const http_result& end)
+platform_outcome platform_client::classify(const http_result& end)
 {
     if (!end.answered)
         return end.progress == send_progress::nothing_sent
@@ -106,21 +108,22 @@
                            raw_handler done)
 {
     const instant now = clock_.now();
-    auto& cap = is_write ? writes_ : reads_;
-    if (!breaker_.allow(now) || !cap.take(1, now))
+    auto& bucket = is_write ? write_bucket_ : read_bucket_;
+    if (!breaker_.allow(now) || !bucket.take(1, now))
     {
-        ++stats_.held_back;
+        ++stats_.rejected;
         return done(platform_outcome::not_sent, {});
     }
     ++(is_write ? stats_.writes : stats_.reads);
     http_->send(std::move(request),
                 [this, done = std::move(done)](http_result end)
                 {
-                    const auto outcome = judge(end);
-                    const bool ok = outcome != platform_outcome::unknown &&
-                                    outcome != platform_outcome::not_sent;
-                    breaker_.note(ok, clock_.now());
-                    stats_.failed += ok ? 0 : 1;
+                    const auto outcome = classify(end);
+                    const bool succeeded =
+                        outcome != platform_outcome::unknown &&
+                        outcome != platform_outcome::not_sent;
+                    breaker_.record_result(succeeded, clock_.now());
+                    stats_.failed += succeeded ? 0 : 1;
                     done(outcome, std::move(end.response));
                 });
 }
@@ -134,7 +137,7 @@
                                   const http_response& answer)
          {
              vm_changes changes;
-             const auto body = object_of(answer.body);
+             const auto body = parse_object(answer.body);
              changes.revision = number_at(body, "revision");
              for (const auto& listed : array_at(body, "vms"))
              {
@@ -153,7 +156,7 @@
          [key, done = std::move(done)](platform_outcome outcome,
                                        const http_response& answer)
          {
-             const auto body = object_of(answer.body);
+             const auto body = parse_object(answer.body);
              done(outcome,
                   {key, text_at(body, "value"), number_at(body, "version")});
          });
@@ -211,7 +214,7 @@
                                   const http_response& answer)
          {
              std::vector<std::string> names;
-             const auto body = object_of(answer.body);
+             const auto body = parse_object(answer.body);
              for (const auto& name : array_at(body, "objects"))
              {
                  if (name.is_string())
@@ -231,9 +234,9 @@
     page.counter("platform_calls_total", help,
                  static_cast<double>(stats_.failed), R"(kind="failed")");
     page.counter("platform_calls_total", help,
-                 static_cast<double>(stats_.held_back), R"(kind="held_back")");
+                 static_cast<double>(stats_.rejected), R"(kind="held_back")");
     page.gauge("platform_away", "1 while the breaker keeps calls back",
-               is_away() ? 1 : 0);
+               is_unavailable() ? 1 : 0);
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/platform/platform_client.hpp
+++ b/src/glenhollow/platform/platform_client.hpp
@@ -42,10 +42,10 @@
 /// Counters of the use of the platform.
 struct platform_client_stats
 {
-    std::uint64_t reads = 0;     ///< Sent.
-    std::uint64_t writes = 0;    ///< Sent.
-    std::uint64_t failed = 0;    ///< Ended unknown.
-    std::uint64_t held_back = 0; ///< Not sent: over the cap or breaker open.
+    std::uint64_t reads = 0;    ///< Sent.
+    std::uint64_t writes = 0;   ///< Sent.
+    std::uint64_t failed = 0;   ///< Ended unknown.
+    std::uint64_t rejected = 0; ///< Not sent: over the cap or breaker open.
 };
 
 /// Calls the platform's services: time limits, a cap on the rate, a circuit
@@ -81,7 +81,7 @@
                       reader<std::vector<std::string>> done);
 
     /// @return Whether the last calls failed and none has worked since.
-    bool is_away() const { return breaker_.has_tripped(); }
+    bool is_unavailable() const { return breaker_.has_tripped(); }
 
     /// @return Counters.
     const platform_client_stats& stats() const { return stats_; }
@@ -94,14 +94,14 @@
     using raw_handler = std::function<void(platform_outcome, http_response)>;
 
     void call(http_request request, bool is_write, raw_handler done);
-    platform_outcome judge(const http_result& end);
+    platform_outcome classify(const http_result& end);
 
     const clock_source& clock_;         ///< Of this process.
     platform_client_settings settings_; ///< Limits.
     std::unique_ptr<http_client> http_; ///< Its connections.
     circuit_breaker breaker_;           ///< Leaves it alone.
-    token_bucket reads_;                ///< Cap.
-    token_bucket writes_;               ///< Cap.
+    token_bucket read_bucket_;          ///< Cap.
+    token_bucket write_bucket_;         ///< Cap.
     platform_client_stats stats_;       ///< Counters.
 };
 
--- a/tests/schedule/simulated_entry.cpp
+++ b/tests/schedule/simulated_entry.cpp
@@ -52,7 +52,7 @@
     silences_.clear();
     dispatch_scheduled_ = false;
     watched_ =
-        std::make_unique<watched_store>(node_.clock(), store_, store_timeout);
+        std::make_unique<monitored_store>(node_.clock(), store_, store_timeout);
     dispatcher_settings limits;
     limits.seed = time_.random();
     order_sender& sender = *this;
--- a/tests/schedule/simulated_entry.hpp
+++ b/tests/schedule/simulated_entry.hpp
@@ -159,7 +159,7 @@
     std::function<bool(std::size_t)> refuses_connections_;
     std::vector<session> sessions_;                 ///< Sessions by agent.
     std::map<std::string, agent_silence> silences_; ///< Silence by agent.
-    std::unique_ptr<watched_store> watched_; ///< Store client of the process.
+    std::unique_ptr<monitored_store> watched_; ///< Store client of the process.
     std::unique_ptr<dispatcher> dispatcher_;
     /// Coordinator of in-memory jobs.
     std::unique_ptr<job_coordinator> memory_;
--- a/tests/schedule/simulated_ownership.hpp
+++ b/tests/schedule/simulated_ownership.hpp
@@ -3,7 +3,7 @@
 
 #include "glenhollow/durable/job_coordinator.hpp"
 #include "glenhollow/durable/part_ownership.hpp"
-#include "glenhollow/journal/watched_store.hpp"
+#include "glenhollow/journal/monitored_store.hpp"
 #include "simulated_node.hpp"
 #include "unit/support/fake_row_store.hpp"
 
--- a/tests/soak/soak_explain.cpp
+++ b/tests/soak/soak_explain.cpp
@@ -28,10 +28,10 @@
 
 /// Events that come all the time and tell nothing of a single task.
 constexpr std::array noise{
-    "placement_load",    "placement_group", "job_refused",
-    "member_discovered", "store_fails",     "store_answers",
-    "call_given_up",     "host_load",       "host_group_changed",
-    "placer_left",       "placer_followed", "runner_ejected"};
+    "placement_load",    "placement_group",   "job_refused",
+    "member_discovered", "store_unavailable", "store_available",
+    "call_given_up",     "host_load",         "host_group_changed",
+    "placer_left",       "placer_followed",   "runner_ejected"};
 
 /// Something that happened.
 struct moment
--- a/tests/unit/configuration/configuration_store_tests.cpp
+++ b/tests/unit/configuration/configuration_store_tests.cpp
@@ -13,12 +13,12 @@
 {
 
 /// One entry's store with the answers it gave.
-struct operator_seat
+struct entry_fixture
 {
     configuration_store store;
     std::vector<change_answer> answers;
 
-    operator_seat(fake_table& table, const manual_clock& clock,
+    entry_fixture(fake_table& table, const manual_clock& clock,
                   const std::string& entry, std::uint64_t seed)
         : store(table, clock, {entry}, seed)
     {
@@ -38,16 +38,16 @@
 {
     fake_table table;
     manual_clock clock;
-    std::vector<std::unique_ptr<operator_seat>> seats;
+    std::vector<std::unique_ptr<entry_fixture>> entry_stores;
 
     explicit fixture(std::size_t entries = 2)
     {
         for (std::size_t i = 0; i < entries; ++i)
-            seats.push_back(std::make_unique<operator_seat>(
+            entry_stores.push_back(std::make_unique<entry_fixture>(
                 table, clock, "e" + std::to_string(i), i + 1));
     }
 
-    operator_seat& seat(std::size_t i) { return *seats[i]; }
+    entry_fixture& entry_store(std::size_t i) { return *entry_stores[i]; }
 
     void pass(duration time, duration step = milliseconds{100})
     {
@@ -55,7 +55,7 @@
         {
             table.settle();
             clock.advance(step);
-            for (auto& one : seats)
+            for (auto& one : entry_stores)
                 one->store.tick();
         }
         table.settle();
@@ -67,17 +67,17 @@
 TEST_CASE("a change is accepted and seen by the other entry's poll")
 {
     fixture f;
-    f.seat(0).set("setting.max_tasks", "5");
+    f.entry_store(0).set("setting.max_tasks", "5");
     f.table.settle();
-    REQUIRE(f.seat(0).answers.at(0).text() == "accepted version 1");
-    REQUIRE(f.seat(1).store.current().version() == 0);
-    f.seat(1).store.poll();
+    REQUIRE(f.entry_store(0).answers.at(0).text() == "accepted version 1");
+    REQUIRE(f.entry_store(1).store.current().version() == 0);
+    f.entry_store(1).store.poll();
     f.table.settle();
-    REQUIRE(f.seat(1).store.current().version() == 1);
-    REQUIRE(f.seat(1).store.current().settings().max_tasks == 5);
+    REQUIRE(f.entry_store(1).store.current().version() == 1);
+    REQUIRE(f.entry_store(1).store.current().settings().max_tasks == 5);
     // Polls of an unchanged head read one row and no more.
     const int before = f.table.reads;
-    f.seat(1).store.poll();
+    f.entry_store(1).store.poll();
     f.table.settle();
     REQUIRE(f.table.reads == before + 1);
 }
@@ -85,11 +85,11 @@
 TEST_CASE("of two operators racing on a key one wins, the other is told")
 {
     fixture f;
-    f.seat(0).set("quota.desk", "10", "anna");
-    f.seat(1).set("quota.desk", "20", "bruno");
+    f.entry_store(0).set("quota.desk", "10", "anna");
+    f.entry_store(1).set("quota.desk", "20", "bruno");
     f.pass(seconds{3});
-    const auto& first = f.seat(0).answers.at(0);
-    const auto& second = f.seat(1).answers.at(0);
+    const auto& first = f.entry_store(0).answers.at(0);
+    const auto& second = f.entry_store(1).answers.at(0);
     const bool first_won = first.state == change_state::accepted;
     const auto& lost = first_won ? second : first;
     REQUIRE((first.state == change_state::accepted) !=
@@ -105,107 +105,108 @@
 TEST_CASE("two operators on different keys both get through")
 {
     fixture f;
-    f.seat(0).set("quota.a", "10");
-    f.seat(1).set("quota.b", "20");
+    f.entry_store(0).set("quota.a", "10");
+    f.entry_store(1).set("quota.b", "20");
     f.pass(seconds{3});
-    REQUIRE(f.seat(0).answers.at(0).state == change_state::accepted);
-    REQUIRE(f.seat(1).answers.at(0).state == change_state::accepted);
+    REQUIRE(f.entry_store(0).answers.at(0).state == change_state::accepted);
+    REQUIRE(f.entry_store(1).answers.at(0).state == change_state::accepted);
     REQUIRE(f.table.commits == 2);
 }
 
 TEST_CASE("a lost answer is settled by reading the change back")
 {
     fixture f;
-    f.seat(0).set("quota.desk", "10");
+    f.entry_store(0).set("quota.desk", "10");
     f.table.step();
     f.table.now = mode::lose_answer;
     f.table.step();
     REQUIRE(f.table.commits == 1);
     f.table.now = mode::up;
     f.pass(seconds{2});
-    REQUIRE(f.seat(0).answers.at(0).text() == "accepted version 1");
+    REQUIRE(f.entry_store(0).answers.at(0).text() == "accepted version 1");
     REQUIRE(f.table.commits == 1);
-    REQUIRE(f.seat(0).store.current().version() == 1);
+    REQUIRE(f.entry_store(0).store.current().version() == 1);
 }
 
 TEST_CASE("a change that never arrived is sent again, once")
 {
     fixture f;
-    f.seat(0).set("quota.desk", "10");
+    f.entry_store(0).set("quota.desk", "10");
     f.table.step();
     f.table.now = mode::drop;
     f.table.step();
     f.table.now = mode::up;
     f.pass(seconds{2});
-    REQUIRE(f.seat(0).answers.at(0).state == change_state::accepted);
+    REQUIRE(f.entry_store(0).answers.at(0).state == change_state::accepted);
     REQUIRE(f.table.commits == 1);
 }
 
 TEST_CASE("with the store away after the write the change is unknown yet")
 {
     fixture f;
-    f.seat(0).set("quota.desk", "10");
+    f.entry_store(0).set("quota.desk", "10");
     f.table.step();
     f.table.now = mode::lose_answer;
     f.table.step();
     f.table.now = mode::drop;
     f.pass(seconds{6});
-    const auto& answer = f.seat(0).answers.at(0);
+    const auto& answer = f.entry_store(0).answers.at(0);
     REQUIRE(answer.text() == "unknown yet, change " + answer.id);
-    REQUIRE(f.seat(0).store.open_changes() == 1);
+    REQUIRE(f.entry_store(0).store.pending_changes() == 1);
     f.table.now = mode::up;
     f.pass(seconds{10});
     std::string settled;
-    f.seat(0).store.ask(answer.id, [&](const change_answer& now)
-                        { settled = now.text(); });
+    f.entry_store(0).store.ask(answer.id, [&](const change_answer& now)
+                               { settled = now.text(); });
     REQUIRE(settled == "accepted version 1");
     // Asked through another entry, the store itself knows.
-    f.seat(1).store.ask(answer.id, [&](const change_answer& now)
-                        { settled = now.text() + " by the store"; });
+    f.entry_store(1).store.ask(answer.id, [&](const change_answer& now)
+                               { settled = now.text() + " by the store"; });
     f.table.settle();
     REQUIRE(settled == "accepted version 1 by the store");
     REQUIRE(f.table.commits == 1);
-    REQUIRE(f.seat(0).answers.size() == 1);
+    REQUIRE(f.entry_store(0).answers.size() == 1);
 }
 
 TEST_CASE("a doubtful change that lost to another is refused, not guessed")
 {
     fixture f;
-    f.seat(0).set("quota.desk", "10", "anna");
+    f.entry_store(0).set("quota.desk", "10", "anna");
     f.table.step();
     f.table.now = mode::drop;
     f.table.step();
     f.table.now = mode::up;
-    f.seat(1).set("quota.desk", "20", "bruno");
+    f.entry_store(1).set("quota.desk", "20", "bruno");
     f.pass(seconds{5});
-    REQUIRE(f.seat(1).answers.at(0).state == change_state::accepted);
-    REQUIRE(f.seat(0).answers.at(0).state == change_state::refused);
-    REQUIRE(f.seat(0).answers.at(0).why.find("bruno") != std::string::npos);
+    REQUIRE(f.entry_store(1).answers.at(0).state == change_state::accepted);
+    REQUIRE(f.entry_store(0).answers.at(0).state == change_state::refused);
+    REQUIRE(f.entry_store(0).answers.at(0).why.find("bruno") !=
+            std::string::npos);
 }
 
 TEST_CASE("with the store away before the write nothing was changed")
 {
     fixture f;
     f.table.now = mode::away;
-    f.seat(0).set("quota.desk", "10");
+    f.entry_store(0).set("quota.desk", "10");
     f.table.settle();
-    REQUIRE(f.seat(0).answers.at(0).state == change_state::refused);
+    REQUIRE(f.entry_store(0).answers.at(0).state == change_state::refused);
     REQUIRE(f.table.commits == 0);
 }
 
 TEST_CASE("a stale peer's older version changes nothing")
 {
     fixture f;
-    const configuration old = f.seat(0).store.current();
-    f.seat(0).set("quota.desk", "10");
+    const configuration old = f.entry_store(0).store.current();
+    f.entry_store(0).set("quota.desk", "10");
     f.table.settle();
-    const auto first = f.seat(0).store.current();
-    f.seat(0).set("quota.desk", "20");
+    const auto first = f.entry_store(0).store.current();
+    f.entry_store(0).set("quota.desk", "20");
     f.table.settle();
-    REQUIRE_FALSE(f.seat(0).store.offer(old));
-    REQUIRE_FALSE(f.seat(0).store.offer(first));
-    REQUIRE(f.seat(0).store.current().version() == 2);
-    REQUIRE(f.seat(0).store.current().find("quota.desk")->value == "20");
+    REQUIRE_FALSE(f.entry_store(0).store.offer(old));
+    REQUIRE_FALSE(f.entry_store(0).store.offer(first));
+    REQUIRE(f.entry_store(0).store.current().version() == 2);
+    REQUIRE(f.entry_store(0).store.current().find("quota.desk")->value == "20");
 }
 
 TEST_CASE("ten operators on one key make a linear history")
@@ -214,9 +215,9 @@
     int accepted = 0;
     for (int round = 0; round < 10; ++round)
     {
-        auto& seat = f.seat(static_cast<std::size_t>(round) % 3);
-        seat.set("quota.desk", std::to_string(round),
-                 "op" + std::to_string(round));
+        auto& entry_store = f.entry_store(static_cast<std::size_t>(round) % 3);
+        entry_store.set("quota.desk", std::to_string(round),
+                        "op" + std::to_string(round));
     }
     // The store loses a third of the answers on the way.
     random_engine random(4);
@@ -225,14 +226,14 @@
         f.table.now = uniform(random) < 0.3 ? mode::lose_answer : mode::up;
         f.table.step();
         f.clock.advance(milliseconds{10});
-        for (auto& one : f.seats)
+        for (auto& one : f.entry_stores)
             one->store.tick();
     }
     f.table.now = mode::up;
     f.pass(seconds{30});
     std::vector<std::uint64_t> versions;
     std::size_t answers = 0;
-    for (auto& one : f.seats)
+    for (auto& one : f.entry_stores)
     {
         one->store.poll();
         f.table.settle();
@@ -253,7 +254,7 @@
     // What is unknown at the time limit may be accepted later, so the table
     // may hold more changes than were called accepted, never fewer.
     REQUIRE(f.table.commits >= accepted);
-    for (auto& one : f.seats)
+    for (auto& one : f.entry_stores)
         REQUIRE(one->store.current().to_json() ==
-                f.seat(0).store.current().to_json());
+                f.entry_store(0).store.current().to_json());
 }
--- a/tests/unit/journal/journal_chain_tests.cpp
+++ b/tests/unit/journal/journal_chain_tests.cpp
@@ -9,18 +9,18 @@
 {
 
 /// One chain over a faulty store.
-struct chain_world
+struct chain_fixture
 {
-    chain_world()
+    chain_fixture()
     {
         head.owner = "entry-1";
         head.incarnation = 11;
         head.epoch = 3;
         head.version = store.put(head_key(0), encode_head(head));
-        make();
+        make_chain();
     }
 
-    void make()
+    void make_chain()
     {
         chain = std::make_unique<journal_chain>(store, loop.delay(), 0, head,
                                                 journal_chain_settings{},
@@ -37,8 +37,8 @@
         journal_entry entry;
         entry.puts.push_back({row(key), "value-" + key});
         entry.droppable = droppable;
-        entry.done = [this, key](journal_verdict verdict)
-        { verdicts[key] = verdict; };
+        entry.done = [this, key](journal_outcome outcome)
+        { outcomes[key] = outcome; };
         chain->append(std::move(entry));
     }
 
@@ -46,7 +46,7 @@
     fake_row_store store{loop};
     chain_head head;
     std::unique_ptr<journal_chain> chain;
-    std::map<std::string, journal_verdict> verdicts;
+    std::map<std::string, journal_outcome> outcomes;
     int lost = 0;
 };
 
@@ -54,24 +54,24 @@
 
 TEST_CASE("entries that come while a transaction is out leave together")
 {
-    chain_world world;
+    chain_fixture fixture;
     for (const auto* key : {"a", "b", "c", "d"})
-        world.write(key);
-    world.loop.advance(milliseconds{50});
-    CHECK(world.store.transactions.size() == 2);
-    CHECK(world.verdicts.size() == 4);
-    CHECK(world.chain->idle());
-    CHECK(world.store.find(chain_world::row("d")));
+        fixture.write(key);
+    fixture.loop.advance(milliseconds{50});
+    CHECK(fixture.store.transactions.size() == 2);
+    CHECK(fixture.outcomes.size() == 4);
+    CHECK(fixture.chain->idle());
+    CHECK(fixture.store.find(chain_fixture::row("d")));
 }
 
 TEST_CASE("a batch keeps to the store's limit of rows")
 {
-    chain_world world;
+    chain_fixture fixture;
     for (int i = 0; i < 250; ++i)
-        world.write("key" + std::to_string(i));
-    world.loop.advance(seconds{1});
-    CHECK(world.verdicts.size() == 250);
-    for (const auto& change : world.store.transactions)
+        fixture.write("key" + std::to_string(i));
+    fixture.loop.advance(seconds{1});
+    CHECK(fixture.outcomes.size() == 250);
+    for (const auto& change : fixture.store.transactions)
         CHECK(change.puts.size() + change.removes.size() +
                   change.expected.size() <=
               max_transaction_rows);
@@ -79,104 +79,104 @@
 
 TEST_CASE("a row written and removed in one batch is named once")
 {
-    chain_world world;
-    world.write("first");
-    world.write("a");
+    chain_fixture fixture;
+    fixture.write("first");
+    fixture.write("a");
     journal_entry entry;
-    entry.removes.push_back(chain_world::row("a"));
-    world.chain->append(std::move(entry));
-    world.loop.advance(milliseconds{50});
-    REQUIRE(world.store.transactions.size() == 2);
-    CHECK(world.store.transactions[1].puts.size() == 1); // The head.
-    CHECK(world.store.transactions[1].removes.size() == 1);
+    entry.removes.push_back(chain_fixture::row("a"));
+    fixture.chain->append(std::move(entry));
+    fixture.loop.advance(milliseconds{50});
+    REQUIRE(fixture.store.transactions.size() == 2);
+    CHECK(fixture.store.transactions[1].puts.size() == 1); // The head.
+    CHECK(fixture.store.transactions[1].removes.size() == 1);
 }
 
 TEST_CASE("a lost answer is settled by the head, not guessed")
 {
-    chain_world world;
-    world.store.lose_answers = 1;
-    world.write("a");
-    world.loop.advance(milliseconds{200});
-    CHECK(world.verdicts.at("a") == journal_verdict::durable);
-    CHECK(world.chain->stats().settled == 1);
-    CHECK(world.lost == 0);
+    chain_fixture fixture;
+    fixture.store.lose_answers = 1;
+    fixture.write("a");
+    fixture.loop.advance(milliseconds{200});
+    CHECK(fixture.outcomes.at("a") == journal_outcome::durable);
+    CHECK(fixture.chain->stats().confirmed_by_head == 1);
+    CHECK(fixture.lost == 0);
 }
 
 TEST_CASE("a transaction done late, after a newer one, does nothing")
 {
-    chain_world world;
-    world.store.hold_commits = true;
-    world.write("a");
-    world.loop.advance(milliseconds{10});
-    world.store.hold_commits = false;
-    world.loop.advance(milliseconds{300});
-    REQUIRE(world.verdicts.at("a") == journal_verdict::durable);
+    chain_fixture fixture;
+    fixture.store.hold_commits = true;
+    fixture.write("a");
+    fixture.loop.advance(milliseconds{10});
+    fixture.store.hold_commits = false;
+    fixture.loop.advance(milliseconds{300});
+    REQUIRE(fixture.outcomes.at("a") == journal_outcome::durable);
     journal_entry entry;
-    entry.removes.push_back(chain_world::row("a"));
-    world.chain->append(std::move(entry));
-    world.loop.advance(milliseconds{50});
-    for (const auto& end : world.store.release_held())
+    entry.removes.push_back(chain_fixture::row("a"));
+    fixture.chain->append(std::move(entry));
+    fixture.loop.advance(milliseconds{50});
+    for (const auto& end : fixture.store.release_held())
         CHECK(end.outcome == store_outcome::conflict);
-    CHECK_FALSE(world.store.find(chain_world::row("a")));
+    CHECK_FALSE(fixture.store.find(chain_fixture::row("a")));
 }
 
 TEST_CASE("a deposed owner's write conflicts and it loses the part")
 {
-    chain_world world;
-    auto successor = world.head;
+    chain_fixture fixture;
+    auto successor = fixture.head;
     successor.owner = "entry-2";
     successor.incarnation = 22;
     successor.epoch = 4;
-    world.store.put(head_key(0), encode_head(successor));
-    world.write("a");
-    world.loop.advance(milliseconds{50});
-    CHECK(world.lost == 1);
-    CHECK(world.verdicts.at("a") == journal_verdict::not_written);
-    CHECK_FALSE(world.store.find(chain_world::row("a")));
-    world.write("b");
-    CHECK(world.verdicts.at("b") == journal_verdict::not_written);
+    fixture.store.put(head_key(0), encode_head(successor));
+    fixture.write("a");
+    fixture.loop.advance(milliseconds{50});
+    CHECK(fixture.lost == 1);
+    CHECK(fixture.outcomes.at("a") == journal_outcome::not_written);
+    CHECK_FALSE(fixture.store.find(chain_fixture::row("a")));
+    fixture.write("b");
+    CHECK(fixture.outcomes.at("b") == journal_outcome::not_written);
 }
 
 TEST_CASE("while the store turns calls away, new jobs go and ends stay")
 {
-    chain_world world;
-    world.store.down = true;
-    world.write("job", true);
-    world.write("end");
-    world.loop.advance(milliseconds{100});
-    CHECK(world.verdicts.at("job") == journal_verdict::not_written);
-    CHECK(world.verdicts.count("end") == 0);
-    CHECK(world.chain->troubled());
-    world.store.down = false;
-    world.loop.advance(milliseconds{400});
-    CHECK(world.verdicts.at("end") == journal_verdict::durable);
+    chain_fixture fixture;
+    fixture.store.down = true;
+    fixture.write("job", true);
+    fixture.write("end");
+    fixture.loop.advance(milliseconds{100});
+    CHECK(fixture.outcomes.at("job") == journal_outcome::not_written);
+    CHECK(fixture.outcomes.count("end") == 0);
+    CHECK(fixture.chain->is_failing());
+    fixture.store.down = false;
+    fixture.loop.advance(milliseconds{400});
+    CHECK(fixture.outcomes.at("end") == journal_outcome::durable);
 }
 
 TEST_CASE("a batch whose fate is unknown is sent again unchanged")
 {
-    chain_world world;
-    world.store.hold_commits = true;
-    world.write("job", true);
-    world.loop.advance(milliseconds{10});
-    world.store.hold_commits = false;
-    world.store.down = true;
-    world.loop.advance(milliseconds{100});
+    chain_fixture fixture;
+    fixture.store.hold_commits = true;
+    fixture.write("job", true);
+    fixture.loop.advance(milliseconds{10});
+    fixture.store.hold_commits = false;
+    fixture.store.down = true;
+    fixture.loop.advance(milliseconds{100});
     // It may be done yet, so it must not be called not written.
-    CHECK(world.verdicts.empty());
-    world.store.release_held();
-    world.store.down = false;
-    world.loop.advance(milliseconds{400});
-    CHECK(world.verdicts.at("job") == journal_verdict::durable);
+    CHECK(fixture.outcomes.empty());
+    fixture.store.release_held();
+    fixture.store.down = false;
+    fixture.loop.advance(milliseconds{400});
+    CHECK(fixture.outcomes.at("job") == journal_outcome::durable);
 }
 
 TEST_CASE("abandoning leaves what is out unknown and the rest unwritten")
 {
-    chain_world world;
-    world.write("out");
-    world.write("waiting");
-    world.chain->abandon();
-    CHECK(world.verdicts.at("out") == journal_verdict::unknown);
-    CHECK(world.verdicts.at("waiting") == journal_verdict::not_written);
-    world.loop.advance(milliseconds{50});
-    CHECK(world.lost == 0);
+    chain_fixture fixture;
+    fixture.write("out");
+    fixture.write("waiting");
+    fixture.chain->abandon();
+    CHECK(fixture.outcomes.at("out") == journal_outcome::unknown);
+    CHECK(fixture.outcomes.at("waiting") == journal_outcome::not_written);
+    fixture.loop.advance(milliseconds{50});
+    CHECK(fixture.lost == 0);
 }
--- a/tests/unit/platform/circuit_breaker_tests.cpp
+++ b/tests/unit/platform/circuit_breaker_tests.cpp
@@ -12,18 +12,18 @@
     for (int i = 0; i < 3; ++i)
     {
         REQUIRE(breaker.allow(now));
-        breaker.note(false, now);
+        breaker.record_result(false, now);
     }
     REQUIRE(breaker.is_open(now));
     REQUIRE_FALSE(breaker.allow(now));
     now += milliseconds{500};
     REQUIRE(breaker.allow(now));
     REQUIRE_FALSE(breaker.allow(now));
-    breaker.note(false, now);
+    breaker.record_result(false, now);
     // The backoff has doubled.
     REQUIRE_FALSE(breaker.allow(now + milliseconds{999}));
     REQUIRE(breaker.allow(now + milliseconds{1000}));
-    breaker.note(true, now);
+    breaker.record_result(true, now);
     REQUIRE_FALSE(breaker.is_open(now));
     REQUIRE(breaker.allow(now));
 }
@@ -38,7 +38,7 @@
         if (!breaker.allow(now))
             continue;
         ++calls;
-        breaker.note(false, now);
+        breaker.record_result(false, now);
     }
     REQUIRE(calls < 3600 / 5 + 10);
 }
--- a/tests/unit/support/fake_row_store.hpp
+++ b/tests/unit/support/fake_row_store.hpp
@@ -68,7 +68,7 @@
     {
         feed_result end;
         end.outcome = down                     ? feed_outcome::failed
-                      : after < oldest_version ? feed_outcome::history_gone
+                      : after < oldest_version ? feed_outcome::history_expired
                                                : feed_outcome::answered;
         end.version = version_;
         for (const auto& [name, row] : rows_)
