--- a/src/glenhollow/configuration/configuration.cpp
+++ b/src/glenhollow/configuration/configuration.cpp
@@ -50,8 +50,8 @@
     for (const auto& [name, row] : rows_of(row_kind::setting))
     {
         const auto* setting = find_setting(name);
-        // A row that an older or newer program wrote may not fit; the default
-        // stays in force then.
+        // A value written by another program version may be invalid here; the
+        // default then applies.
         if (setting)
             static_cast<void>(set_value(*setting, row.value, values));
     }
--- a/src/glenhollow/configuration/configuration.hpp
+++ b/src/glenhollow/configuration/configuration.hpp
@@ -14,14 +14,14 @@
 namespace glenhollow
 {
 
-/// What a row of the configuration is about.
+/// Kind of a configuration row.
 enum class row_kind : std::uint8_t
 {
-    setting, ///< A setting of the table.
-    quota,   ///< A team's quota, tasks a second.
-    weight,  ///< A team's weight in the queue.
-    token,   ///< A team's bearer token.
-    drain    ///< A runner that gets no work; the value says who wants it.
+    setting, ///< Value of a setting in setting_table().
+    quota,   ///< Quota of a client account, in tasks per second.
+    weight,  ///< Queue weight of a client account.
+    token,   ///< Bearer token of a client account.
+    drain    ///< Drained backend server; the value names the operator.
 };
 
 template <>
@@ -31,84 +31,77 @@
         "setting", "quota", "weight", "token", "drain"};
 };
 
-/// @param kind What it is about.
-/// @param name Which setting, team or runner.
-/// @return The key of the row.
+/// @param name Name of the setting, client account or backend server.
+/// @return Key of the row.
 std::string row_key(row_kind kind, std::string_view name);
 
-/// One row with its last change.
+/// A configuration row and its last change.
 struct configuration_row
 {
-    std::string value;         ///< Text; empty: the row is gone.
-    std::uint64_t version = 0; ///< Of the configuration that set it.
-    std::string by;            ///< Which operator.
-    std::int64_t when = 0;     ///< Wall time, s since 1970.
+    std::string value;         ///< Value; empty if the row was removed.
+    std::uint64_t version = 0; ///< Configuration version of the change.
+    std::string by;            ///< Name of the operator.
+    std::int64_t when = 0;     ///< Unix time in seconds.
 
     bool operator==(const configuration_row&) const = default;
 };
 
-/// A change of some rows.
+/// A change of one or more rows.
 struct configuration_change
 {
-    std::string id;                          ///< Names the change.
-    std::map<std::string, std::string> rows; ///< New values; empty: gone.
-    std::string by;                          ///< Which operator.
-    std::int64_t when = 0;                   ///< Wall time, s since 1970.
-    std::string statement;                   ///< As the operator wrote it.
+    std::string id;                          ///< Unique id of the change.
+    std::map<std::string, std::string> rows; ///< New values; empty removes.
+    std::string by;                          ///< Name of the operator.
+    std::int64_t when = 0;                   ///< Unix time in seconds.
+    std::string statement;                   ///< Statement of the operator.
 };
 
-/// The whole configuration at one version. A plain value.
+/// A versioned snapshot of the configuration.
 class configuration final
 {
 public:
-    /// @return Counts accepted changes from 1; 0: nothing was ever set.
+    /// @return Number of accepted changes; 0 if nothing was ever set.
     std::uint64_t version() const { return version_; }
 
-    /// @return All rows, those that are gone among them.
+    /// @return All rows, including removed ones.
     const std::map<std::string, configuration_row>& rows() const
     {
         return rows_;
     }
 
-    /// @param change A change.
-    /// @return The next version with it.
+    /// @return The next version, with the change applied.
     configuration with(const configuration_change& change) const;
 
-    /// @param key A row.
-    /// @return The row, or null when it is not there.
+    /// @return The row, or null if it is absent or removed.
     const configuration_row* find(const std::string& key) const;
 
-    /// @param kind What rows are about.
-    /// @return Name and row of each that is there.
+    /// @return Names and rows of one kind, without removed ones.
     std::vector<std::pair<std::string, configuration_row>>
     rows_of(row_kind kind) const;
 
-    /// @param defaults Of settings without a row.
-    /// @return The settings in force.
+    /// @param defaults Values of settings without a row.
+    /// @return The effective settings.
     tuning settings(const tuning& defaults = {}) const;
 
-    /// @param version An older version.
-    /// @return Keys changed since then.
+    /// @return Keys of the rows changed after a version.
     std::vector<std::string> changed_since(std::uint64_t version) const;
 
-    /// @return The configuration as JSON text.
+    /// Serializes the configuration as JSON.
     std::string to_json() const;
 
-    /// @param text What to_json() gave.
-    /// @return The configuration, or why the text is none.
+    /// Parses the output of to_json().
+    /// @return The configuration, or a description of the parse error.
     static result<configuration> from_json(const std::string& text);
 
-    /// Sets a row as another process told it.
-    /// @param key Which.
-    /// @param row Its new state.
+    /// Merges a row received from another process; an older row is ignored.
     void merge_row(const std::string& key, configuration_row row);
 
-    /// @param version Of the rows merged.
+    /// Sets the version after rows were merged.
     void set_version(std::uint64_t version) { version_ = version; }
 
 private:
-    std::uint64_t version_ = 0;                     ///< Counts changes.
-    std::map<std::string, configuration_row> rows_; ///< By key.
+    std::uint64_t version_ = 0;
+    std::map<std::string, configuration_row> rows_; ///< Rows by key.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/configuration/configuration_store.cpp
+++ b/src/glenhollow/configuration/configuration_store.cpp
@@ -144,8 +144,8 @@
     if (open->retry_at > clock_.now())
         return;
     open->busy = true;
-    // A transaction in doubt is sent again unchanged: its condition lets it
-    // take effect once at most.
+    // A transaction without a response is resent unchanged: its condition
+    // allows at most one commit.
     if (open->in_doubt)
         send(open);
     else
@@ -160,7 +160,7 @@
         {
             const bool known = outcome == platform_outcome::done ||
                                outcome == platform_outcome::missing;
-            // Nothing was written yet, so this is no doubt but a refusal.
+            // Nothing was written yet, so the change is refused, not unknown.
             if (!known)
                 return answer(open, {change_state::refused, open->change.id, 0,
                                      "the platform's table is away; nothing "
@@ -200,14 +200,14 @@
 void configuration_store::prepare(const std::shared_ptr<pending_change>& open,
                                   const head& at)
 {
-    // What an operator races with is what changes after the statement came,
-    // not what this entry had not heard of by then.
+    // Only changes committed after submission count as conflicts, not older
+    // ones that this entry had not read yet.
     if (!open->base_version)
         open->base_version = current_.version();
     if (const auto conflict = find_conflict(*open))
         return answer(open,
                       {change_state::refused, open->change.id, 0, *conflict});
-    // The head read before the values may be older than they are.
+    // The values may be newer than the head that was read before them.
     if (at.version < current_.version())
         return schedule_retry(open);
     const auto next = current_.with(open->change);
@@ -236,8 +236,8 @@
             case platform_outcome::done:
                 return read_back(open);
             case platform_outcome::conflict:
-                // Either someone else came first, or an earlier copy of this
-                // very transaction did.
+                // Another change, or an earlier attempt of this one, was
+                // committed.
                 if (open->in_doubt)
                     return read_back(open);
                 ++open->attempts;
@@ -265,7 +265,7 @@
                         if (outcome == platform_outcome::done)
                         {
                             const auto version = to_head(row).version;
-                            // Other changes may have come on top since.
+                            // Later changes may have been committed since.
                             if (current_.version() + 1 == version)
                                 apply_if_newer(current_.with(open->change));
                             else
@@ -275,8 +275,8 @@
                         }
                         if (outcome == platform_outcome::missing)
                         {
-                            // The head has moved on without it, so that
-                            // transaction can never take effect: a fresh
+                            // The head changed without it, so the old
+                            // transaction can no longer commit: a new
                             // attempt is safe.
                             open->in_doubt = false;
                             ++open->attempts;
@@ -295,7 +295,7 @@
         return answer(open, {change_state::refused, open->change.id, 0,
                              "conflict with other changes, " +
                                  std::to_string(open->attempts) + " times"});
-    // Lost races are tried again soon, doubt with a growing pause.
+    // Conflicts are retried soon, lost responses with exponential backoff.
     const auto bound =
         open->in_doubt ? open->backoff : settings_.first_backoff / 4;
     open->retry_at = clock_.now() + std::chrono::duration_cast<duration>(
@@ -327,7 +327,7 @@
     {
         if (!open->done || now - open->submitted_at < settings_.answer_timeout)
             continue;
-        // The operator gets an honest answer; settling goes on.
+        // The operator is told `unknown`; retries continue.
         const auto done = std::move(open->done);
         open->done = nullptr;
         done({change_state::unknown, open->change.id, 0, ""});
--- a/src/glenhollow/configuration/configuration_store.hpp
+++ b/src/glenhollow/configuration/configuration_store.hpp
@@ -17,12 +17,12 @@
 namespace glenhollow
 {
 
-/// What became of a change.
+/// State of a configuration change.
 enum class change_state : std::uint8_t
 {
-    accepted, ///< It is in force.
-    refused,  ///< It never took effect and never will.
-    unknown   ///< Nobody can say yet; it is being settled.
+    accepted, ///< The change was committed.
+    refused,  ///< The change was not and will not be committed.
+    unknown   ///< The result is not known yet; retries continue.
 };
 
 template <>
@@ -32,104 +32,102 @@
         "accepted", "refused", "unknown"};
 };
 
-/// The answer to a change.
+/// Result of a configuration change.
 struct change_answer
 {
-    change_state state = change_state::unknown; ///< What became of it.
-    std::string id;                             ///< Names the change.
-    std::uint64_t version = 0;                  ///< When accepted.
-    std::string why; ///< When refused: by whom, what and when.
+    change_state state = change_state::unknown;
+    std::string id;            ///< Unique id of the change.
+    std::uint64_t version = 0; ///< Committed version if accepted.
+    std::string why;           ///< Reason if refused.
 
-    /// @return One line for the operator.
+    /// @return A one-line message for the operator.
     std::string text() const;
 };
 
-/// Limits of the store of the configuration.
+/// Limits of a configuration store.
 struct configuration_store_settings
 {
-    std::string entry = "entry";                ///< Names changes.
-    duration answer_timeout = seconds{4};       ///< The operator waits so long.
-    duration first_backoff = milliseconds{100}; ///< Between attempts.
-    duration longest_backoff = seconds{5};      ///< The doubling ends here.
-    std::size_t most_attempts = 30;             ///< Lost races of one change.
-    std::size_t max_remembered_answers = 1000;  ///< Answers remembered.
+    std::string entry = "entry";          ///< Prefix of change ids.
+    duration answer_timeout = seconds{4}; ///< Operators get `unknown` then.
+    duration first_backoff = milliseconds{100}; ///< First retry delay.
+    duration longest_backoff = seconds{5};      ///< Longest retry delay.
+    std::size_t most_attempts = 30;             ///< Conflicts before refusal.
+    std::size_t max_remembered_answers = 1000;  ///< Size of the answer cache.
 };
 
-/// The configuration in force at one entry, changed by compare-and-set in the
-/// platform's table. Each change carries an id; an answer that was lost is
-/// settled by sending the same conditional transaction again and reading the
-/// id back, so it is never guessed. A version never goes back. One thread.
+/// The effective configuration of one entry, changed by compare-and-set in the
+/// platform's table. Each change has a unique id: if a response is lost, the
+/// same conditional transaction is sent again and the id read back to find out
+/// whether it was committed. The version never decreases. Not thread-safe.
 class configuration_store final
 {
 public:
-    /// Told of each newer configuration.
+    /// Called with each newer configuration.
     using changed_handler = std::function<void(const configuration&)>;
 
-    /// Told what became of a change.
+    /// Called with the result of a change.
     using answer_handler = std::function<void(const change_answer&)>;
 
-    /// @param table The platform's table; outlives the store.
-    /// @param clock Of this process; outlives the store.
-    /// @param settings Limits.
-    /// @param seed Of change ids and backoffs.
+    /// @param table Must outlive the store.
+    /// @param clock Must outlive the store.
+    /// @param seed Seed of change ids and retry jitter.
     configuration_store(table_service& table, const clock_source& clock,
                         const configuration_store_settings& settings,
                         std::uint64_t seed);
 
-    /// @param handler Told of each newer configuration.
+    /// Sets the handler that is called with each newer configuration.
     void on_changed(changed_handler handler) { changed_ = std::move(handler); }
 
-    /// @return The configuration in force here.
+    /// @return The effective configuration of this entry.
     const configuration& current() const { return current_; }
 
-    /// Reads the head row and, where it is newer, the values.
+    /// Reads the head row and, if its version is newer, the values.
     void poll();
 
-    /// Takes a configuration from a peer; an older one is ignored.
-    /// @param offered What the peer has.
+    /// Applies a configuration received from a peer if it is newer.
     /// @return Whether it was newer.
     bool offer(const configuration& offered);
 
-    /// Changes rows.
-    /// @param rows New values; empty: the row goes.
-    /// @param by Which operator.
-    /// @param statement As written.
-    /// @param done Told once: accepted, refused, or unknown yet.
+    /// Submits a change of rows.
+    /// @param rows New values by key; an empty value removes the row.
+    /// @param by Name of the operator.
+    /// @param statement Statement of the operator.
+    /// @param done Called once, with the final result or with `unknown` after
+    /// the answer timeout.
     void change(std::map<std::string, std::string> rows, std::string by,
                 std::string statement, answer_handler done);
 
-    /// @param id A change.
-    /// @param done Told what became of it as far as can be known.
+    /// Looks up the result of a change by its id.
     void ask(const std::string& id, answer_handler done);
 
-    /// Goes on with what waits for its time.
+    /// Runs due retries and reports changes that reached the answer timeout.
     void tick();
 
-    /// @return Changes not yet settled.
+    /// @return Number of changes without a final result.
     std::size_t pending_changes() const { return queue_.size(); }
 
 private:
-    /// A change on its way.
+    /// A change without a final result.
     struct pending_change
     {
-        configuration_change change;               ///< What to change.
-        std::optional<std::uint64_t> base_version; ///< Version when it came.
-        answer_handler done;                       ///< Null once answered.
-        instant submitted_at{};                    ///< When it came.
-        table_transaction sent;         ///< The transaction in doubt.
-        std::uint64_t sent_version = 0; ///< That it would make.
-        bool in_doubt = false;          ///< An answer was lost.
-        std::size_t attempts = 0;       ///< Lost races.
-        duration backoff{};             ///< Before the next attempt.
-        instant retry_at{};             ///< When that is, or 0.
-        bool busy = false;              ///< A call is under way.
+        configuration_change change;
+        std::optional<std::uint64_t> base_version; ///< Version at submission.
+        answer_handler done;                       ///< Null once called.
+        instant submitted_at{};                    ///< Time of submission.
+        table_transaction sent;                    ///< Last transaction sent.
+        std::uint64_t sent_version = 0;            ///< Version that it creates.
+        bool in_doubt = false;                     ///< A response was lost.
+        std::size_t attempts = 0;                  ///< Number of conflicts.
+        duration backoff{}; ///< Delay before the next retry.
+        instant retry_at{}; ///< Time of the next retry, or 0.
+        bool busy = false;  ///< A call is in flight.
     };
 
-    /// The head row as read.
+    /// Versions in the head row.
     struct head
     {
-        std::uint64_t row_version = 0; ///< For the condition.
-        std::uint64_t version = 0;     ///< Of the configuration.
+        std::uint64_t row_version = 0; ///< Version of the row.
+        std::uint64_t version = 0;     ///< Configuration version.
     };
 
     void apply_if_newer(const configuration& newer);
@@ -145,16 +143,16 @@
                 change_answer answer);
     std::optional<std::string> find_conflict(const pending_change& open) const;
 
-    table_service& table_;                  ///< The platform's.
-    const clock_source& clock_;             ///< Of this process.
-    configuration_store_settings settings_; ///< Limits.
-    random_engine random_;                  ///< Ids and backoffs.
-    configuration current_;                 ///< In force here.
-    changed_handler changed_;               ///< May be empty.
-    bool polling_ = false;                  ///< A read is under way.
+    table_service& table_;
+    const clock_source& clock_;
+    configuration_store_settings settings_;
+    random_engine random_; ///< Source of ids and jitter.
+    configuration current_;
+    changed_handler changed_; ///< May be empty.
+    bool polling_ = false;    ///< A poll is in flight.
     std::deque<std::shared_ptr<pending_change>> queue_; ///< One at a time.
-    std::map<std::string, change_answer> answers_;      ///< By id.
-    std::deque<std::string> answer_order_;              ///< Oldest first.
+    std::map<std::string, change_answer> answers_; ///< Final results by id.
+    std::deque<std::string> answer_order_;         ///< Ids, oldest first.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/configuration/configuration_wire.hpp
+++ b/src/glenhollow/configuration/configuration_wire.hpp
@@ -9,17 +9,13 @@
 namespace glenhollow
 {
 
-/// Writes the rows that a receiver does not have.
-/// @param out The message.
-/// @param from The configuration.
-/// @param since The receiver's version.
+/// Writes the rows that changed after the receiver's version.
+/// @param since Version that the receiver has.
 void fill(wire::Configuration::Builder out, const configuration& from,
           std::uint64_t since);
 
-/// Takes the rows of a message; an older configuration changes nothing.
-/// @param into Gets newer.
-/// @param from The message.
-/// @return Whether it got newer.
+/// Merges the rows of a message; a message that is not newer is ignored.
+/// @return Whether the message was newer.
 bool merge(configuration& into, wire::Configuration::Reader from);
 
 } // namespace glenhollow
--- a/src/glenhollow/configuration/tuning.hpp
+++ b/src/glenhollow/configuration/tuning.hpp
@@ -15,75 +15,69 @@
 namespace glenhollow
 {
 
-/// Everything an operator can set while the system runs, with its defaults.
+/// Settings that operators can change at run time, with their defaults.
 /// setting_table() describes each member.
 struct tuning
 {
-    placement_kind placement = placement_kind::late_binding;     ///< Strategy.
-    queue_order_kind queue_order = queue_order_kind::least_work; ///< Order.
-    double default_team_quota = -1;  ///< Tasks a second; below 0: no limit.
-    double quota_burst_s = 0.5;      ///< Saved up, in seconds of the quota.
-    double overcommit = 2;           ///< Tasks that may wait at a runner.
-    double short_reserve = 0.1;      ///< Share that long tasks leave free.
-    double long_task_ms = 1000;      ///< Longer tasks are long ones.
-    double start_window_s = 10;      ///< A sent start must begin within.
-    double longest_deadline_s = 120; ///< A caller may ask for.
-    double usual_deadline_s = 30;    ///< When a caller names none.
-    double id_lifetime_s = 120;      ///< Of a submission id.
-    double ack_delay_s = 20;         ///< Results stay at agents so long.
-    double heartbeat_s = 10;         ///< Of idle links.
-    double resend_window_s = 3;      ///< A broken link may come back.
-    double deadline_share = 0.9;     ///< Of a deadline, for queueing.
-    double retry_share = 0.1;        ///< Retries per fresh task.
-    double most_ejected = 0.3;       ///< Share of the runners.
-    double slow_at = 2;              ///< Times the expected length.
-    double starts_per_call = 1;      ///< Of one job, in one message.
-    double max_tasks = 1000;         ///< In one job.
-    double max_queued_tasks = 50000; ///< Waiting at one shard.
-    double max_jobs = 20000;         ///< In flight at one shard.
-    double runner_slots = 0;         ///< Of every runner; 0: as its flag says.
+    placement_kind placement = placement_kind::late_binding;
+    queue_order_kind queue_order = queue_order_kind::least_work;
+    double default_team_quota = -1; ///< Tasks per second; negative: no limit.
+    double quota_burst_s = 0.5;     ///< Burst, in seconds of the quota.
+    double overcommit = 2;      ///< Tasks that may queue at a backend server.
+    double short_reserve = 0.1; ///< Share of slots reserved for short tasks.
+    double long_task_ms = 1000; ///< Threshold of long tasks.
+    double start_window_s = 10; ///< Time limit for a task to start.
+    double longest_deadline_s = 120; ///< Maximum deadline.
+    double usual_deadline_s = 30;    ///< Default deadline.
+    double id_lifetime_s = 120;      ///< Lifetime of submission ids.
+    double ack_delay_s = 20;         ///< Retention of results at agents.
+    double heartbeat_s = 10;         ///< Heartbeat interval of idle links.
+    double resend_window_s = 3;      ///< Time limit for reconnecting.
+    double deadline_share = 0.9;     ///< Share for queueing and running.
+    double retry_share = 0.1;        ///< Retries per new task.
+    double most_ejected = 0.3;       ///< Maximum share of ejected servers.
+    double slow_at = 2;              ///< Slowness, in expected durations.
+    double starts_per_call = 1;      ///< Starts of a job per message.
+    double max_tasks = 1000;         ///< Maximum tasks in one job.
+    double max_queued_tasks = 50000; ///< Maximum queued tasks in one shard.
+    double max_jobs = 20000;         ///< Maximum jobs in flight in one shard.
+    double runner_slots = 0;         ///< Slots per server; 0: the agent's flag.
 };
 
-/// Which member of the tuning a setting is.
+/// Pointer to the member that stores a setting.
 using tuning_member = std::variant<double tuning::*, placement_kind tuning::*,
                                    queue_order_kind tuning::*>;
 
-/// One setting: the one place that knows its name, unit, range and meaning.
+/// Name, unit, range and meaning of a setting.
 struct setting_description
 {
-    std::string_view name;  ///< As operators write it.
-    tuning_member member;   ///< Where its value goes.
-    std::string_view unit;  ///< Empty for a plain number or a name.
-    double least = 0;       ///< Smallest value, for numbers.
-    double most = 0;        ///< Largest value, for numbers.
-    bool whole = false;     ///< Only whole numbers.
-    std::string_view about; ///< One line.
+    std::string_view name;  ///< Name in operator statements.
+    tuning_member member;   ///< Member that stores the value.
+    std::string_view unit;  ///< Unit; empty if none.
+    double least = 0;       ///< Minimum of a number.
+    double most = 0;        ///< Maximum of a number.
+    bool whole = false;     ///< Only integers are allowed.
+    std::string_view about; ///< One-line description.
 };
 
 /// @return All settings in the order of the documentation.
 std::span<const setting_description> setting_table();
 
-/// @param name As operators write it.
-/// @return The setting, or null.
+/// @return The setting of that name, or null.
 const setting_description* find_setting(std::string_view name);
 
-/// @param setting A setting.
-/// @param value As an operator wrote it.
-/// @param target Gets the value.
-/// @return Nothing, or the allowed range.
+/// Parses a value and stores it.
+/// @return An error with the allowed range if the value is invalid.
 result<void> set_value(const setting_description& setting,
                        std::string_view value, tuning& target);
 
-/// @param setting A setting.
-/// @param from A tuning.
-/// @return Its value there as text.
+/// @return The current value of a setting as text.
 std::string value_text(const setting_description& setting, const tuning& from);
 
-/// @param setting A setting.
-/// @return Its allowed values as text.
+/// @return The allowed values of a setting as text.
 std::string range_text(const setting_description& setting);
 
-/// @return docs/SETTINGS.md, made from the table.
+/// @return Content of docs/SETTINGS.md, generated from the table.
 std::string settings_page();
 
 } // namespace glenhollow
--- a/src/glenhollow/journal/journal_chain.cpp
+++ b/src/glenhollow/journal/journal_chain.cpp
@@ -56,8 +56,8 @@
     }
     catch (const std::exception& error)
     {
-        return failure{std::string("the head row of ") + row.key.part +
-                       " has a wrong form: " + error.what()};
+        return failure{std::string("malformed head row of ") + row.key.part +
+                       ": " + error.what()};
     }
     return head;
 }
@@ -78,26 +78,26 @@
           chain_head initial_head, const journal_chain_settings& limits,
           std::function<void()> lost)
         : store(rows), schedule(std::move(scheduler)), part(number),
-          end(std::move(initial_head)), settings(limits),
+          last_head(std::move(initial_head)), settings(limits),
           on_lost(std::move(lost)), backoff(limits.first_backoff)
     {
     }
 
-    row_store& store;                  ///< Where rows lie.
-    delay schedule;                    ///< Runs delayed work.
-    part_number part;                  ///< Which part.
-    chain_head end;                    ///< As last known.
-    journal_chain_settings settings;   ///< Limits.
-    std::function<void()> on_lost;     ///< Told of the part's loss.
-    std::deque<journal_entry> waiting; ///< Not yet sent.
-    std::vector<journal_entry> batch;  ///< Of the transaction that is out.
-    bool in_flight = false;            ///< A transaction is out or to be tried.
-    bool uncertain = false;            ///< A try of it had no answer.
-    bool timer_set = false;            ///< A gather timer runs.
-    bool lost = false;                 ///< The part is not ours any more.
-    bool is_failing = false;           ///< The last try failed.
-    duration backoff;                  ///< Before the next try.
-    journal_chain_stats stats;         ///< Counters.
+    row_store& store; ///< Store of the journal's rows.
+    delay schedule;   ///< Runs a function after a delay.
+    part_number part;
+    chain_head last_head; ///< Head after the last known commit.
+    journal_chain_settings settings;
+    std::function<void()> on_lost;     ///< Called when ownership is lost.
+    std::deque<journal_entry> waiting; ///< Queued entries.
+    std::vector<journal_entry> batch;  ///< Entries of the current transaction.
+    bool in_flight = false;            ///< Sent or awaiting a retry.
+    bool uncertain = false;            ///< An attempt had no response.
+    bool timer_set = false;            ///< The batch timer is running.
+    bool lost = false;                 ///< The part is no longer owned.
+    bool is_failing = false;           ///< The last attempt failed.
+    duration backoff;                  ///< Delay before the next retry.
+    journal_chain_stats stats;
 
     void append(journal_entry entry)
     {
@@ -129,7 +129,7 @@
     {
         if (waiting.empty())
             return;
-        std::size_t rows = 2; // The head, as a condition and as a write.
+        std::size_t rows = 2; // Head row: condition and write.
         std::size_t bytes = 0;
         while (!waiting.empty())
         {
@@ -150,10 +150,10 @@
     {
         in_flight = true;
         ++stats.transactions;
-        auto next = end;
+        auto next = last_head;
         ++next.sequence;
         row_transaction change;
-        change.expected.push_back({head_key(part), end.version});
+        change.expected.push_back({head_key(part), last_head.version});
         change.puts.push_back({head_key(part), encode_head(next)});
         for (auto& [key, value] : merged_rows())
         {
@@ -166,7 +166,8 @@
                      { self->on_commit_result(response); });
     }
 
-    /// The batch's last word on each row; nothing: the row is removed.
+    /// Merges the batch so that each row occurs once, with its last value.
+    /// @return Keys and values; no value means that the row is removed.
     std::vector<std::pair<row_key, std::optional<std::string>>>
     merged_rows() const
     {
@@ -218,8 +219,8 @@
 
     void on_committed(std::uint64_t version)
     {
-        end.version = version;
-        ++end.sequence;
+        last_head.version = version;
+        ++last_head.sequence;
         backoff = settings.first_backoff;
         in_flight = false;
         auto completed = std::exchange(batch, {});
@@ -233,7 +234,8 @@
             send_next();
     }
 
-    /// Ours and with the very sequence that was sent: an earlier try was done.
+    /// A head row with this owner's epoch and the sequence that was sent shows
+    /// that an earlier attempt was committed; otherwise the part is lost.
     void on_conflict(const commit_result& response)
     {
         for (const auto& row : response.current)
@@ -241,9 +243,9 @@
             if (!(row.key == head_key(part)))
                 continue;
             const auto found = decode_head(row);
-            if (found && found.value().incarnation == end.incarnation &&
-                found.value().epoch == end.epoch &&
-                found.value().sequence == end.sequence + 1)
+            if (found && found.value().incarnation == last_head.incarnation &&
+                found.value().epoch == last_head.epoch &&
+                found.value().sequence == last_head.sequence + 1)
             {
                 ++stats.confirmed_by_head;
                 return on_committed(row.version);
@@ -343,7 +345,7 @@
 {
     if (state_->lost)
         return;
-    // What is out may be done yet.
+    // The transaction in flight may still be committed.
     state_->uncertain = state_->uncertain || state_->in_flight;
     state_->fail_pending();
 }
@@ -360,7 +362,7 @@
 
 const chain_head& journal_chain::head() const
 {
-    return state_->end;
+    return state_->last_head;
 }
 
 const journal_chain_stats& journal_chain::stats() const
--- a/src/glenhollow/journal/journal_chain.hpp
+++ b/src/glenhollow/journal/journal_chain.hpp
@@ -17,38 +17,35 @@
 namespace glenhollow
 {
 
-/// The row at the end of a part's chain of transactions.
+/// Content of a part's head row, which every transaction of the part updates.
 struct chain_head
 {
-    std::string owner;             ///< Name of the entry that wrote it.
-    std::uint64_t incarnation = 0; ///< Of that entry.
-    std::uint32_t epoch = 0;       ///< Counts owners, from 1; 0: no row.
-    std::uint64_t sequence = 0;    ///< Counts the owner's transactions.
-    std::uint64_t version = 0;     ///< Of the row; 0: no row.
+    std::string owner;             ///< Name of the entry that owns the part.
+    std::uint64_t incarnation = 0; ///< Incarnation of the owner.
+    std::uint32_t epoch = 0; ///< Ownership epoch, from 1; 0 if no row exists.
+    std::uint64_t sequence = 0; ///< Number of the owner's transactions.
+    std::uint64_t version = 0;  ///< Version of the row; 0 if no row exists.
 };
 
-/// @param head What the row says; its version is not written.
-/// @return The row's value.
+/// Serializes a head row, without its version.
 std::string encode_head(const chain_head& head);
 
-/// @param row The row.
-/// @return What it says, or what is wrong with it.
+/// Parses a head row.
+/// @return The head, or a description of the malformed row.
 result<chain_head> decode_head(const stored_row& row);
 
-/// @param part A part of the journal.
-/// @return Its name in the store.
+/// @return Name of the part in the store.
 std::string part_name(part_number part);
 
-/// @param part A part of the journal.
-/// @return The key of its head row.
+/// @return Key of the part's head row.
 row_key head_key(part_number part);
 
-/// How an entry of the journal ended.
+/// Final state of a journal entry.
 enum class journal_outcome : std::uint8_t
 {
-    durable,     ///< It is in the store.
-    not_written, ///< It is not and never will be.
-    unknown      ///< The part was lost before it was settled.
+    durable,     ///< The entry is committed to the store.
+    not_written, ///< The entry was not and will not be committed.
+    unknown      ///< Ownership was lost before the result was known.
 };
 
 template <>
@@ -58,84 +55,81 @@
         "durable", "not_written", "unknown"};
 };
 
-/// When an entry should leave.
+/// How soon an entry must be sent to the store.
 enum class journal_urgency : std::uint8_t
 {
-    immediate, ///< With the next transaction, which leaves when none is out.
-    batched    ///< May wait a little for company.
+    immediate, ///< Sent as soon as no transaction is in flight.
+    batched    ///< May wait `batch_delay` to share a transaction.
 };
 
-/// Rows that change together, and who waits for it.
+/// Row changes that are committed atomically, with a completion callback.
 struct journal_entry
 {
     std::vector<row_write> puts;                          ///< Rows to write.
     std::vector<row_key> removes;                         ///< Rows to remove.
-    journal_urgency urgency = journal_urgency::immediate; ///< When.
-    bool droppable = false; ///< While the store turns us away, give it up.
-    std::function<void(journal_outcome)> done; ///< Told the end; may be empty.
+    journal_urgency urgency = journal_urgency::immediate; ///< How soon to send.
+    bool droppable = false; ///< Dropped if the store refuses the transaction.
+    std::function<void(journal_outcome)> done; ///< Callback; may be empty.
 };
 
-/// Limits of a chain.
+/// Delays of a journal chain.
 struct journal_chain_settings
 {
-    duration batch_delay = milliseconds{12};      ///< For `gathered` entries.
-    duration first_backoff = milliseconds{25};    ///< After a refusal.
-    duration longest_backoff = milliseconds{200}; ///< Between tries.
+    duration batch_delay = milliseconds{12};   ///< Wait of `batched` entries.
+    duration first_backoff = milliseconds{25}; ///< First retry delay.
+    duration longest_backoff = milliseconds{200}; ///< Longest retry delay.
 };
 
-/// Counters of a chain.
+/// Counters of a journal chain.
 struct journal_chain_stats
 {
-    std::uint64_t transactions = 0;      ///< Calls made.
-    std::uint64_t entries = 0;           ///< Entries made durable.
-    std::uint64_t refused = 0;           ///< Calls turned away.
-    std::uint64_t unknown = 0;           ///< Calls without an answer.
-    std::uint64_t confirmed_by_head = 0; ///< Of them, found done by the head.
+    std::uint64_t transactions = 0;      ///< Commit attempts.
+    std::uint64_t entries = 0;           ///< Entries committed.
+    std::uint64_t refused = 0;           ///< Attempts refused by the store.
+    std::uint64_t unknown = 0;           ///< Attempts without a response.
+    std::uint64_t confirmed_by_head = 0; ///< Found committed on a retry.
 };
 
-/// The writer's end of one part's journal: a chain of transactions, each under
-/// the condition that the head row is the one its predecessor left. One
-/// transaction is out at a time; the next takes all that came meanwhile. One
-/// thread.
+/// Writes one part's journal as a chain of transactions. Each transaction is
+/// conditional on the version of the head row that its predecessor wrote, so a
+/// previous owner cannot write after a takeover. At most one transaction is in
+/// flight; entries appended meanwhile are batched into the next one. Not
+/// thread-safe.
 class journal_chain final
 {
 public:
-    /// Runs a function after a while; the process's loop does.
+    /// Runs a function on the event loop after a delay.
     using delay = std::function<void(duration, std::function<void()>)>;
 
-    /// @param store Where rows lie; outlives the chain's calls.
-    /// @param later Runs delayed work.
-    /// @param part Which part.
-    /// @param head The claim as it was written: version and epoch are ours.
-    /// @param settings Limits.
-    /// @param on_lost Told once when another entry has taken the part.
+    /// @param store Must outlive all calls of the chain.
+    /// @param head The head row that this owner wrote to claim the part.
+    /// @param on_lost Called once if another entry has claimed the part.
     journal_chain(row_store& store, delay schedule, part_number part,
                   chain_head head, const journal_chain_settings& settings,
                   std::function<void()> on_lost);
     ~journal_chain();
 
-    /// @param entry Rows and who waits.
+    /// Queues an entry; once the part is lost, it ends as `not_written`.
     void append(journal_entry entry);
 
-    /// Gives the part up: waiting entries are not written; the transaction
-    /// that is out stays unknown.
+    /// Releases the part. Queued entries end as `not_written`, entries of the
+    /// transaction in flight as `unknown`.
     void abandon();
 
-    /// @return Whether nothing waits or is out.
+    /// @return Whether no entry is queued or in flight.
     bool idle() const;
 
-    /// @return Whether the store has refused or not answered the last try.
+    /// @return Whether the store refused or did not answer the last attempt.
     bool is_failing() const;
 
-    /// @return The chain's end as last known.
+    /// @return The head row after the last known commit.
     const chain_head& head() const;
 
-    /// @return Counters.
     const journal_chain_stats& stats() const;
 
 private:
     struct state;
-    std::shared_ptr<state> state_; ///< Shared with calls that are out.
+    std::shared_ptr<state> state_; ///< Shared with calls in flight.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/journal/monitored_store.cpp
+++ b/src/glenhollow/journal/monitored_store.cpp
@@ -19,7 +19,7 @@
     {
         if (health.failing_since.count() != 0)
             log_change(log_level::info, "store_available", {});
-        health.answered = clock.now();
+        health.answered_at = clock.now();
         health.failing_since = {};
         return;
     }
--- a/src/glenhollow/journal/monitored_store.hpp
+++ b/src/glenhollow/journal/monitored_store.hpp
@@ -9,13 +9,14 @@
 namespace glenhollow
 {
 
-/// Passes calls on and remembers whether the store answers.
+/// Forwards calls to a store and tracks whether it responds.
 class monitored_store final : public row_store
 {
 public:
-    /// @param clock Outlives it.
-    /// @param inner The store; outlives it.
-    /// @param patience Failures for so long make the store unreachable.
+    /// @param clock Must outlive this object.
+    /// @param inner Must outlive this object.
+    /// @param failure_timeout Period of failures after which the store counts
+    /// as unreachable.
     monitored_store(const clock_source& clock, row_store& inner,
                     duration failure_timeout);
 
@@ -24,27 +25,27 @@
     void follow(const std::string& table, std::uint64_t after, duration wait,
                 feed_handler done) override;
 
-    /// @return Whether the store answers this process.
+    /// @return False once calls have failed for at least `failure_timeout`.
     bool reachable() const;
 
-    /// @return When it last answered.
-    instant last_answer() const { return state_->answered; }
+    /// @return Time of the last successful call.
+    instant last_answer() const { return state_->answered_at; }
 
 private:
-    /// Shared with calls that are out.
+    /// Health of the store.
     struct state
     {
-        instant answered{};      ///< Last good answer.
-        instant failing_since{}; ///< First failure after it; zero: none.
+        instant answered_at{};   ///< Last successful call.
+        instant failing_since{}; ///< First failure since then; zero if none.
     };
 
     static void record_result(const clock_source& clock, state& health,
                               bool succeeded);
 
-    const clock_source& clock_;    ///< This process's.
-    row_store& inner_;             ///< The store.
-    duration failure_timeout_;     ///< See the constructor.
-    std::shared_ptr<state> state_; ///< What was seen.
+    const clock_source& clock_;
+    row_store& inner_;
+    duration failure_timeout_;
+    std::shared_ptr<state> state_; ///< Shared with calls in flight.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/journal/row_store.hpp
+++ b/src/glenhollow/journal/row_store.hpp
@@ -12,54 +12,54 @@
 namespace glenhollow
 {
 
-/// Names a row. Rows of one transaction share the part.
+/// Key of a row. All rows of a transaction belong to one part.
 struct row_key
 {
-    std::string table; ///< Kind of row.
-    std::string part;  ///< Unit of transactions; may be empty.
-    std::string key;   ///< Within table and part.
+    std::string table; ///< Table name.
+    std::string part;  ///< Transaction scope; may be empty.
+    std::string key;   ///< Unique within table and part.
 
     bool operator==(const row_key&) const = default;
 };
 
-/// A row as the store holds it.
+/// A stored row with its version.
 struct stored_row
 {
-    row_key key;               ///< Its name.
-    std::string value;         ///< Any bytes.
-    std::uint64_t version = 0; ///< Of its last change; 0: no such row.
-    bool gone = false;         ///< It was removed (in a feed only).
+    row_key key;
+    std::string value;         ///< Arbitrary bytes.
+    std::uint64_t version = 0; ///< Version of the last change; 0 if absent.
+    bool gone = false; ///< Whether the row was removed; change feeds only.
 };
 
-/// A row's new value.
+/// A new value of a row.
 struct row_write
 {
-    row_key key;       ///< Its name.
-    std::string value; ///< Any bytes.
+    row_key key;
+    std::string value; ///< Arbitrary bytes.
 };
 
-/// A row that must be at a version.
+/// A required version of a row.
 struct row_condition
 {
-    row_key key;               ///< Its name.
-    std::uint64_t version = 0; ///< 0: it must not exist.
+    row_key key;
+    std::uint64_t version = 0; ///< 0 if the row must not exist.
 };
 
-/// A change that happens whole or not at all.
+/// An atomic change of rows.
 struct row_transaction
 {
-    std::vector<row_condition> expected; ///< All must hold.
+    std::vector<row_condition> expected; ///< Conditions; all must hold.
     std::vector<row_write> puts;         ///< Rows to write.
     std::vector<row_key> removes;        ///< Rows to remove.
 };
 
-/// How a call to the store ended.
+/// Result of a call to the store.
 enum class store_outcome : std::uint8_t
 {
-    done,     ///< It took effect.
-    conflict, ///< A condition did not hold; nothing took effect.
-    refused,  ///< The store turned the call away; nothing took effect.
-    unknown   ///< No answer: it may take effect, now or later.
+    done,     ///< The transaction was committed.
+    conflict, ///< A condition did not hold; nothing was changed.
+    refused,  ///< The store refused the call; nothing was changed.
+    unknown   ///< No response; the change may be applied now or later.
 };
 
 template <>
@@ -69,51 +69,51 @@
         "done", "conflict", "refused", "unknown"};
 };
 
-/// The end of a transaction.
+/// Result of a transaction.
 struct commit_result
 {
-    store_outcome outcome = store_outcome::unknown; ///< What happened.
-    std::uint64_t version = 0;       ///< Of the written rows, when done.
-    std::vector<stored_row> current; ///< After a conflict: the expected rows.
+    store_outcome outcome = store_outcome::unknown;
+    std::uint64_t version = 0;       ///< Version of the written rows if done.
+    std::vector<stored_row> current; ///< Conflict: rows of the conditions.
 };
 
-/// A range of rows of one table and part.
+/// A key range within one table and part.
 struct row_range
 {
-    std::string table;     ///< Kind of row.
-    std::string part;      ///< Unit of transactions.
-    std::string from;      ///< First key.
-    std::string until;     ///< First key past the range; empty: none.
-    std::size_t limit = 0; ///< Rows at most; 0: as many as the store gives.
+    std::string table;     ///< Table name.
+    std::string part;      ///< Transaction scope.
+    std::string from;      ///< First key, inclusive.
+    std::string until;     ///< End key, exclusive; empty for no bound.
+    std::size_t limit = 0; ///< Maximum row count; 0 for the store's default.
 };
 
-/// The end of a read.
+/// Result of a read.
 struct read_result
 {
-    bool answered = false;        ///< Whether the rows are those of now.
-    std::vector<stored_row> rows; ///< In the order of their keys.
-    bool more = false;            ///< The range goes on after the last row.
-    std::uint64_t version = 0;    ///< The store's newest.
+    bool answered = false;        ///< Whether the store responded.
+    std::vector<stored_row> rows; ///< Rows ordered by key.
+    bool more = false;            ///< Whether more rows follow in the range.
+    std::uint64_t version = 0;    ///< Latest version in the store.
 };
 
-/// How a wait for changes ended.
+/// Status of a change feed request.
 enum class feed_outcome : std::uint8_t
 {
-    answered,        ///< Rows that changed, perhaps none.
-    history_expired, ///< The store forgot; read the table anew.
-    failed           ///< No answer.
+    answered,        ///< The store responded, possibly without changes.
+    history_expired, ///< Changes were discarded; reread the table.
+    failed           ///< The store did not respond.
 };
 
-/// The end of a wait for changes.
+/// Result of a change feed request.
 struct feed_result
 {
-    feed_outcome outcome = feed_outcome::failed; ///< What happened.
-    std::vector<stored_row> rows;                ///< Changed, in order.
-    std::uint64_t version = 0;                   ///< Go on from here.
+    feed_outcome outcome = feed_outcome::failed;
+    std::vector<stored_row> rows; ///< Changed rows in order of their versions.
+    std::uint64_t version = 0;    ///< Version to continue from.
 };
 
-/// The platform's store of rows; a stand-in of it in tests. Calls end on the
-/// thread that made them.
+/// Interface of a transactional row store. Each callback runs on the calling
+/// thread after the call has returned.
 class row_store
 {
 public:
@@ -123,27 +123,24 @@
 
     virtual ~row_store() = default;
 
-    /// @param change At most `max_transaction_rows` rows.
-    /// @param done Told the end, not from inside this call.
+    /// Commits a transaction of at most `max_transaction_rows` rows.
     virtual void commit(const row_transaction& change, commit_handler done) = 0;
 
-    /// @param range What to read.
-    /// @param done Told the end, not from inside this call.
+    /// Reads the rows of a range.
     virtual void read(const row_range& range, read_handler done) = 0;
 
     /// Waits for changes of a table.
-    /// @param table Kind of row.
-    /// @param after The version up to which changes are known.
-    /// @param wait How long at most.
-    /// @param done Told the end, not from inside this call.
+    /// @param after Latest version that the caller has seen.
+    /// @param wait Maximum time to wait for a change.
     virtual void follow(const std::string& table, std::uint64_t after,
                         duration wait, feed_handler done) = 0;
 };
 
-/// Rows in one transaction, conditions included.
+/// Maximum number of rows in a transaction, conditions included.
 inline constexpr std::size_t max_transaction_rows = 100;
 
-/// Bytes of values in one transaction, with room for names and encoding.
+/// Maximum total size of a transaction's values in bytes; leaves room for keys
+/// and encoding.
 inline constexpr std::size_t max_transaction_bytes = 600UL << 10;
 
 } // namespace glenhollow
--- a/src/glenhollow/platform/circuit_breaker.hpp
+++ b/src/glenhollow/platform/circuit_breaker.hpp
@@ -12,37 +12,34 @@
 /// Limits of a circuit breaker.
 struct circuit_breaker_settings
 {
-    std::size_t failures = 3;                     ///< In a row, to open.
-    duration first_open_time = milliseconds{500}; ///< Doubles each time.
-    duration longest_open_time = seconds{5};      ///< The doubling ends here.
+    std::size_t failures = 3; ///< Consecutive failures that open it.
+    duration first_open_time = milliseconds{500}; ///< Doubled per failure.
+    duration longest_open_time = seconds{5};      ///< Longest open time.
 };
 
-/// Keeps calls back from a service that fails; lets one through after each
-/// pause. Pure state.
+/// Circuit breaker: rejects calls to a failing service and admits one trial
+/// call each time the open time has passed. Performs no I/O.
 class circuit_breaker final
 {
 public:
-    /// @param settings Limits.
     explicit circuit_breaker(const circuit_breaker_settings& settings)
         : settings_(settings), open_time_(settings.first_open_time)
     {
     }
 
-    /// @param now The time.
-    /// @return Whether a call may be made; after a pause just one.
+    /// @return Whether a call may be made; one trial after each open time.
     bool allow(instant now)
     {
         if (failures_ < settings_.failures)
             return true;
         if (now < retry_at_)
             return false;
-        // The next trial has to wait for the end of this one.
+        // The next trial waits for another open time.
         retry_at_ = now + open_time_;
         return true;
     }
 
-    /// @param ok Whether the call was answered.
-    /// @param now The time.
+    /// Records the result of a call.
     void record_result(bool succeeded, instant now)
     {
         if (succeeded)
@@ -58,21 +55,20 @@
         open_time_ = std::min(open_time_ * 2, settings_.longest_open_time);
     }
 
-    /// @param now The time.
-    /// @return Whether calls are kept back.
+    /// @return Whether calls are rejected.
     bool is_open(instant now) const
     {
         return failures_ >= settings_.failures && now < retry_at_;
     }
 
-    /// @return Whether the last calls failed, open or on trial.
+    /// @return Whether the failure threshold is reached, open or on trial.
     bool has_tripped() const { return failures_ >= settings_.failures; }
 
 private:
-    circuit_breaker_settings settings_; ///< Limits.
-    std::size_t failures_ = 0;          ///< In a row.
-    instant retry_at_{};                ///< End of the pause.
-    duration open_time_;                ///< Length of the next one.
+    circuit_breaker_settings settings_;
+    std::size_t failures_ = 0; ///< Consecutive failures.
+    instant retry_at_{};       ///< Time of the next trial call.
+    duration open_time_;       ///< Current open time.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/platform/platform_client.cpp
+++ b/src/glenhollow/platform/platform_client.cpp
@@ -17,7 +17,7 @@
 constexpr unsigned status_not_found = 404;
 constexpr unsigned status_conflict = 409;
 
-/// @return The object in a body, empty where it is not one.
+/// @return The JSON object in a body; empty if the body is not an object.
 json::object parse_object(const std::string& body)
 {
     boost::system::error_code ec;
@@ -235,7 +235,7 @@
                  static_cast<double>(stats_.failed), R"(kind="failed")");
     page.counter("platform_calls_total", help,
                  static_cast<double>(stats_.rejected), R"(kind="held_back")");
-    page.gauge("platform_away", "1 while the breaker keeps calls back",
+    page.gauge("platform_away", "1 while the circuit breaker has tripped",
                is_unavailable() ? 1 : 0);
 }
 
--- a/src/glenhollow/platform/platform_client.hpp
+++ b/src/glenhollow/platform/platform_client.hpp
@@ -21,88 +21,82 @@
 namespace glenhollow
 {
 
-/// Limits of the use of the platform's services by one process.
+/// Limits of one process's calls to the platform's services.
 struct platform_client_settings
 {
-    host_port server;                   ///< The platform.
-    duration call_timeout = seconds{2}; ///< Of one call.
-    double reads_per_second = 6;        ///< Cap of this process.
-    double writes_per_second = 2;       ///< Cap of this process.
-    double burst_seconds = 10;          ///< Of both, saved up.
-    circuit_breaker_settings breaker;   ///< When to leave it alone.
+    host_port server;                   ///< Address of the platform.
+    duration call_timeout = seconds{2}; ///< Timeout of a call.
+    double reads_per_second = 6;        ///< Rate limit of reads.
+    double writes_per_second = 2;       ///< Rate limit of writes.
+    double burst_seconds = 10; ///< Burst of both, in seconds of the rate.
+    circuit_breaker_settings breaker; ///< Circuit breaker limits.
 };
 
-/// Changes of the VM list.
+/// Changes of the VM list since a revision.
 struct vm_changes
 {
-    std::uint64_t revision = 0;  ///< To ask for later changes.
+    std::uint64_t revision = 0;  ///< Revision to pass to the next call.
     std::vector<member> changed; ///< New state of each changed VM.
 };
 
-/// Counters of the use of the platform.
+/// Counters of calls to the platform.
 struct platform_client_stats
 {
-    std::uint64_t reads = 0;    ///< Sent.
-    std::uint64_t writes = 0;   ///< Sent.
-    std::uint64_t failed = 0;   ///< Ended unknown.
-    std::uint64_t rejected = 0; ///< Not sent: over the cap or breaker open.
+    std::uint64_t reads = 0;    ///< Reads sent.
+    std::uint64_t writes = 0;   ///< Writes sent.
+    std::uint64_t failed = 0;   ///< Calls that failed after being admitted.
+    std::uint64_t rejected = 0; ///< Calls over the rate limit or breaker open.
 };
 
-/// Calls the platform's services: time limits, a cap on the rate, a circuit
-/// breaker. It never repeats a call; whoever called knows what a repeat means.
+/// Client of the platform's services with call timeouts, rate limits and a
+/// circuit breaker. It does not retry calls, as only the caller knows whether a
+/// retry is safe.
 class platform_client final : public table_service
 {
 public:
-    /// @param io Runs the calls.
-    /// @param clock Of this process; outlives the client.
-    /// @param settings Limits.
+    /// @param clock Must outlive the client.
     platform_client(boost::asio::io_context& io, const clock_source& clock,
                     const platform_client_settings& settings);
 
-    /// @param since A revision that was told before, or 0 for all.
-    /// @param done Told the changes.
+    /// Lists the VMs that changed after a revision.
+    /// @param since Revision of an earlier call, or 0 for all VMs.
     void list_vms(std::uint64_t since, reader<vm_changes> done);
 
     void read_row(const std::string& key, reader<table_row> done) override;
     void transact(const table_transaction& change, writer done) override;
 
-    /// @param name An object.
-    /// @param content Text.
-    /// @param done Told whether it was stored.
+    /// Stores an object.
     void put_object(const std::string& name, std::string content, writer done);
 
-    /// @param name An object.
-    /// @param done Told its content.
+    /// Reads the content of an object.
     void read_object(const std::string& name, reader<std::string> done);
 
-    /// @param prefix Start of the names.
-    /// @param done Told the names.
+    /// Lists the names of the objects that begin with a prefix.
     void list_objects(const std::string& prefix,
                       reader<std::vector<std::string>> done);
 
-    /// @return Whether the last calls failed and none has worked since.
+    /// @return Whether the circuit breaker has tripped and not recovered.
     bool is_unavailable() const { return breaker_.has_tripped(); }
 
-    /// @return Counters.
     const platform_client_stats& stats() const { return stats_; }
 
-    /// @param page Gets the metrics of the client.
+    /// Adds the client's metrics to a page.
     void collect(metric_page& page) const;
 
 private:
-    /// A call's end: its outcome and, where there is one, its answer.
+    /// Called with the outcome and the response, which is empty if none came.
     using raw_handler = std::function<void(platform_outcome, http_response)>;
 
     void call(http_request request, bool is_write, raw_handler done);
     platform_outcome classify(const http_result& end);
 
-    const clock_source& clock_;         ///< Of this process.
-    platform_client_settings settings_; ///< Limits.
-    std::unique_ptr<http_client> http_; ///< Its connections.
-    circuit_breaker breaker_;           ///< Leaves it alone.
-    token_bucket read_bucket_;          ///< Cap.
-    token_bucket write_bucket_;         ///< Cap.
-    platform_client_stats stats_;       ///< Counters.
+    const clock_source& clock_;
+    platform_client_settings settings_;
+    std::unique_ptr<http_client> http_;
+    circuit_breaker breaker_;
+    token_bucket read_bucket_;  ///< Rate limit of reads.
+    token_bucket write_bucket_; ///< Rate limit of writes.
+    platform_client_stats stats_;
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/platform/table_service.hpp
+++ b/src/glenhollow/platform/table_service.hpp
@@ -11,14 +11,14 @@
 namespace glenhollow
 {
 
-/// How a call to the platform ended.
+/// Result of a call to the platform.
 enum class platform_outcome : std::uint8_t
 {
-    done,     ///< It took effect.
-    conflict, ///< A condition did not hold; nothing took effect.
-    missing,  ///< There is no such row or object.
-    not_sent, ///< Nothing left this process; nothing took effect.
-    unknown   ///< No answer, or a failure after it was sent.
+    done,     ///< The call succeeded.
+    conflict, ///< A condition did not hold; nothing was changed.
+    missing,  ///< The row or object does not exist.
+    not_sent, ///< The call was not sent; nothing was changed.
+    unknown   ///< No response, or a failure after sending.
 };
 
 template <>
@@ -28,54 +28,52 @@
         "done", "conflict", "missing", "not_sent", "unknown"};
 };
 
-/// One row of the table service.
+/// A row of the table service.
 struct table_row
 {
-    std::string key;           ///< Its name.
-    std::string value;         ///< Text.
-    std::uint64_t version = 0; ///< Counts its changes; 0: no such row.
+    std::string key;
+    std::string value;
+    std::uint64_t version = 0; ///< Number of changes; 0 if absent.
 };
 
-/// A change of rows in one transaction.
+/// An atomic change of rows.
 struct table_transaction
 {
-    /// A row that must be at a version.
+    /// A required version of a row.
     struct condition
     {
-        std::string key;           ///< Its name.
-        std::uint64_t version = 0; ///< 0: it must not exist.
+        std::string key;
+        std::uint64_t version = 0; ///< 0 if the row must not exist.
     };
 
-    /// A row's new value.
+    /// A new value of a row.
     struct write
     {
-        std::string key;   ///< Its name.
-        std::string value; ///< Text.
+        std::string key;
+        std::string value;
     };
 
-    std::vector<condition> conditions; ///< All must hold.
-    std::vector<write> writes;         ///< All take effect, or none.
+    std::vector<condition> conditions; ///< Conditions; all must hold.
+    std::vector<write> writes;         ///< Values to write.
 };
 
-/// The platform's transactional table; faked in tests.
+/// Interface of the platform's transactional table.
 class table_service
 {
 public:
-    /// Told the end of a read.
+    /// Called with the result of a read.
     template <class T>
     using reader = std::function<void(platform_outcome, T)>;
 
-    /// Told the end of a write.
+    /// Called with the result of a write.
     using writer = std::function<void(platform_outcome)>;
 
     virtual ~table_service() = default;
 
-    /// @param key A row.
-    /// @param done Told the row.
+    /// Reads a row.
     virtual void read_row(const std::string& key, reader<table_row> done) = 0;
 
-    /// @param change What to change.
-    /// @param done Told whether it took effect.
+    /// Commits a transaction.
     virtual void transact(const table_transaction& change, writer done) = 0;
 };
 
--- a/tests/unit/configuration/configuration_store_tests.cpp
+++ b/tests/unit/configuration/configuration_store_tests.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// One entry's store with the answers it gave.
+/// The store of one entry and the results that it reported.
 struct entry_fixture
 {
     configuration_store store;
@@ -33,7 +33,7 @@
     }
 };
 
-/// A table with some entries, and time that passes.
+/// Several entries that share a table and a manual clock.
 struct fixture
 {
     fake_table table;
@@ -64,7 +64,7 @@
 
 } // namespace
 
-TEST_CASE("a change is accepted and seen by the other entry's poll")
+TEST_CASE("an accepted change is visible to another entry's poll")
 {
     fixture f;
     f.entry_store(0).set("setting.max_tasks", "5");
@@ -75,14 +75,14 @@
     f.table.settle();
     REQUIRE(f.entry_store(1).store.current().version() == 1);
     REQUIRE(f.entry_store(1).store.current().settings().max_tasks == 5);
-    // Polls of an unchanged head read one row and no more.
+    // A poll of an unchanged head reads a single row.
     const int before = f.table.reads;
     f.entry_store(1).store.poll();
     f.table.settle();
     REQUIRE(f.table.reads == before + 1);
 }
 
-TEST_CASE("of two operators racing on a key one wins, the other is told")
+TEST_CASE("of two concurrent changes of a key one is accepted, one refused")
 {
     fixture f;
     f.entry_store(0).set("quota.desk", "10", "anna");
@@ -102,7 +102,7 @@
     REQUIRE(f.table.commits == 1);
 }
 
-TEST_CASE("two operators on different keys both get through")
+TEST_CASE("concurrent changes of different keys are both accepted")
 {
     fixture f;
     f.entry_store(0).set("quota.a", "10");
@@ -113,7 +113,7 @@
     REQUIRE(f.table.commits == 2);
 }
 
-TEST_CASE("a lost answer is settled by reading the change back")
+TEST_CASE("a lost response is resolved by reading the change back")
 {
     fixture f;
     f.entry_store(0).set("quota.desk", "10");
@@ -128,7 +128,7 @@
     REQUIRE(f.entry_store(0).store.current().version() == 1);
 }
 
-TEST_CASE("a change that never arrived is sent again, once")
+TEST_CASE("a change that did not arrive is resent and committed once")
 {
     fixture f;
     f.entry_store(0).set("quota.desk", "10");
@@ -141,7 +141,7 @@
     REQUIRE(f.table.commits == 1);
 }
 
-TEST_CASE("with the store away after the write the change is unknown yet")
+TEST_CASE("a change is unknown while the table is unavailable after the write")
 {
     fixture f;
     f.entry_store(0).set("quota.desk", "10");
@@ -159,7 +159,7 @@
     f.entry_store(0).store.ask(answer.id, [&](const change_answer& now)
                                { settled = now.text(); });
     REQUIRE(settled == "accepted version 1");
-    // Asked through another entry, the store itself knows.
+    // Another entry finds the result in the table.
     f.entry_store(1).store.ask(answer.id, [&](const change_answer& now)
                                { settled = now.text() + " by the store"; });
     f.table.settle();
@@ -168,7 +168,7 @@
     REQUIRE(f.entry_store(0).answers.size() == 1);
 }
 
-TEST_CASE("a doubtful change that lost to another is refused, not guessed")
+TEST_CASE("a change without a response that lost to another is refused")
 {
     fixture f;
     f.entry_store(0).set("quota.desk", "10", "anna");
@@ -184,7 +184,7 @@
             std::string::npos);
 }
 
-TEST_CASE("with the store away before the write nothing was changed")
+TEST_CASE("a change is refused if the table is unavailable before the write")
 {
     fixture f;
     f.table.now = mode::away;
@@ -194,7 +194,7 @@
     REQUIRE(f.table.commits == 0);
 }
 
-TEST_CASE("a stale peer's older version changes nothing")
+TEST_CASE("an older version from a peer is ignored")
 {
     fixture f;
     const configuration old = f.entry_store(0).store.current();
@@ -209,7 +209,7 @@
     REQUIRE(f.entry_store(0).store.current().find("quota.desk")->value == "20");
 }
 
-TEST_CASE("ten operators on one key make a linear history")
+TEST_CASE("concurrent changes of one key get unique versions")
 {
     fixture f(3);
     int accepted = 0;
@@ -219,7 +219,7 @@
         entry_store.set("quota.desk", std::to_string(round),
                         "op" + std::to_string(round));
     }
-    // The store loses a third of the answers on the way.
+    // The table loses 30% of the responses.
     random_engine random(4);
     for (int step = 0; step < 3000; ++step)
     {
@@ -251,8 +251,8 @@
     std::sort(versions.begin(), versions.end());
     REQUIRE(std::adjacent_find(versions.begin(), versions.end()) ==
             versions.end());
-    // What is unknown at the time limit may be accepted later, so the table
-    // may hold more changes than were called accepted, never fewer.
+    // A change reported as unknown may be committed later, so the table may
+    // hold more changes than were reported accepted, but not fewer.
     REQUIRE(f.table.commits >= accepted);
     for (auto& one : f.entry_stores)
         REQUIRE(one->store.current().to_json() ==
--- a/tests/unit/configuration/fake_table.hpp
+++ b/tests/unit/configuration/fake_table.hpp
@@ -11,17 +11,17 @@
 namespace glenhollow
 {
 
-/// A table whose calls wait until the test lets them through.
+/// A table whose calls are queued until the test executes them.
 class fake_table final : public table_service
 {
 public:
-    /// What happens to the next calls.
+    /// Behaviour of the calls that are executed.
     enum class mode : std::uint8_t
     {
-        up,          ///< They work.
-        lose_answer, ///< They take effect and their answer is lost.
-        drop,        ///< They do not take effect and nobody answers.
-        away         ///< Nothing is sent.
+        up,          ///< Calls succeed.
+        lose_answer, ///< Writes are applied, but responses are lost.
+        drop,        ///< Writes are not applied and have no response.
+        away         ///< Calls are not sent.
     };
 
     void read_row(const std::string& key, reader<table_row> done) override
@@ -57,7 +57,7 @@
             });
     }
 
-    /// Lets one waiting call through.
+    /// Executes the next queued call.
     /// @return Whether there was one.
     bool step()
     {
@@ -69,7 +69,7 @@
         return true;
     }
 
-    /// Lets calls through until none waits.
+    /// Executes calls until the queue is empty.
     void settle()
     {
         while (step())
@@ -93,12 +93,12 @@
         return platform_outcome::done;
     }
 
-    mode now = mode::up;                     ///< What happens.
-    std::map<std::string, table_row> rows;   ///< The table.
-    std::deque<std::function<void()>> calls; ///< Waiting.
-    int reads = 0;                           ///< Let through.
-    int writes = 0;                          ///< Let through.
-    int commits = 0;                         ///< Took effect.
+    mode now = mode::up;                     ///< Current behaviour.
+    std::map<std::string, table_row> rows;   ///< Table content by key.
+    std::deque<std::function<void()>> calls; ///< Queued calls.
+    int reads = 0;                           ///< Executed reads.
+    int writes = 0;                          ///< Executed writes.
+    int commits = 0;                         ///< Committed transactions.
 };
 
 } // namespace glenhollow
--- a/tests/unit/configuration/tuning_tests.cpp
+++ b/tests/unit/configuration/tuning_tests.cpp
@@ -7,7 +7,7 @@
 
 using namespace glenhollow;
 
-TEST_CASE("the default of each setting is in its own range")
+TEST_CASE("the default of each setting is within its range")
 {
     std::set<std::string_view> names;
     for (const auto& setting : setting_table())
@@ -22,7 +22,7 @@
     }
 }
 
-TEST_CASE("wrong values are told with the field and the range")
+TEST_CASE("an invalid value is rejected with the setting and its range")
 {
     tuning values;
     const auto wrong = [&values](const char* name, const char* value)
@@ -40,7 +40,7 @@
     REQUIRE(values.max_tasks == 1000);
 }
 
-TEST_CASE("a configuration survives being written and read")
+TEST_CASE("a configuration is unchanged by a JSON round trip")
 {
     configuration_change change;
     change.rows = {{"quota.desk", "5"}, {"drain.r1", "anna"}};
@@ -59,7 +59,7 @@
     REQUIRE_FALSE(configuration::from_json("x"));
 }
 
-TEST_CASE("rows that are told late never undo newer ones")
+TEST_CASE("an older row does not overwrite a newer one")
 {
     configuration known;
     known.merge_row("quota.a", {"7", 5, "anna", 1});
--- a/tests/unit/journal/journal_chain_tests.cpp
+++ b/tests/unit/journal/journal_chain_tests.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// One chain over a faulty store.
+/// A journal chain on a store with fault injection.
 struct chain_fixture
 {
     chain_fixture()
@@ -52,7 +52,8 @@
 
 } // namespace
 
-TEST_CASE("entries that come while a transaction is out leave together")
+TEST_CASE(
+    "entries appended while a transaction is in flight share the next one")
 {
     chain_fixture fixture;
     for (const auto* key : {"a", "b", "c", "d"})
@@ -64,7 +65,7 @@
     CHECK(fixture.store.find(chain_fixture::row("d")));
 }
 
-TEST_CASE("a batch keeps to the store's limit of rows")
+TEST_CASE("a batch does not exceed the row limit of a transaction")
 {
     chain_fixture fixture;
     for (int i = 0; i < 250; ++i)
@@ -77,7 +78,8 @@
               max_transaction_rows);
 }
 
-TEST_CASE("a row written and removed in one batch is named once")
+TEST_CASE(
+    "a row written and removed in one batch occurs once in the transaction")
 {
     chain_fixture fixture;
     fixture.write("first");
@@ -87,11 +89,11 @@
     fixture.chain->append(std::move(entry));
     fixture.loop.advance(milliseconds{50});
     REQUIRE(fixture.store.transactions.size() == 2);
-    CHECK(fixture.store.transactions[1].puts.size() == 1); // The head.
+    CHECK(fixture.store.transactions[1].puts.size() == 1); // Head row.
     CHECK(fixture.store.transactions[1].removes.size() == 1);
 }
 
-TEST_CASE("a lost answer is settled by the head, not guessed")
+TEST_CASE("a commit with a lost response is confirmed by the head row")
 {
     chain_fixture fixture;
     fixture.store.lose_answers = 1;
@@ -102,7 +104,7 @@
     CHECK(fixture.lost == 0);
 }
 
-TEST_CASE("a transaction done late, after a newer one, does nothing")
+TEST_CASE("a delayed transaction conflicts after a newer commit")
 {
     chain_fixture fixture;
     fixture.store.hold_commits = true;
@@ -120,7 +122,7 @@
     CHECK_FALSE(fixture.store.find(chain_fixture::row("a")));
 }
 
-TEST_CASE("a deposed owner's write conflicts and it loses the part")
+TEST_CASE("a previous owner's write conflicts and reports the loss of the part")
 {
     chain_fixture fixture;
     auto successor = fixture.head;
@@ -137,7 +139,7 @@
     CHECK(fixture.outcomes.at("b") == journal_outcome::not_written);
 }
 
-TEST_CASE("while the store turns calls away, new jobs go and ends stay")
+TEST_CASE("a refused commit drops droppable entries and retries the others")
 {
     chain_fixture fixture;
     fixture.store.down = true;
@@ -152,7 +154,7 @@
     CHECK(fixture.outcomes.at("end") == journal_outcome::durable);
 }
 
-TEST_CASE("a batch whose fate is unknown is sent again unchanged")
+TEST_CASE("a batch with an unknown result is resent with its droppable entries")
 {
     chain_fixture fixture;
     fixture.store.hold_commits = true;
@@ -161,7 +163,7 @@
     fixture.store.hold_commits = false;
     fixture.store.down = true;
     fixture.loop.advance(milliseconds{100});
-    // It may be done yet, so it must not be called not written.
+    // The commit may still take effect, so no outcome may be reported.
     CHECK(fixture.outcomes.empty());
     fixture.store.release_held();
     fixture.store.down = false;
@@ -169,7 +171,8 @@
     CHECK(fixture.outcomes.at("job") == journal_outcome::durable);
 }
 
-TEST_CASE("abandoning leaves what is out unknown and the rest unwritten")
+TEST_CASE("abandon reports unknown for entries in flight, not_written for "
+          "queued ones")
 {
     chain_fixture fixture;
     fixture.write("out");
