--- a/src/glenhollow/rpc/asio_stream.cpp
+++ b/src/glenhollow/rpc/asio_stream.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t read_buffer_bytes = 16UL * 1024;
 constexpr std::size_t unsent_limit_bytes = 1024UL * 1024;
 
-kj::Exception disconnected(const std::string& text)
+kj::Exception disconnected_error(const std::string& text)
 {
     return kj::Exception(kj::Exception::Type::DISCONNECTED, __FILE__, __LINE__,
                          kj::heapString(text.c_str()));
@@ -35,105 +35,108 @@
     /// A read that waits for bytes.
     struct pending_read
     {
-        kj::Own<kj::PromiseFulfiller<std::size_t>> done; ///< Its promise.
-        kj::byte* to = nullptr;                          ///< Where they go.
-        std::size_t min = 0;                             ///< Least to return.
-        std::size_t max = 0;                             ///< Most to return.
-        std::size_t got = 0;                             ///< Copied so far.
+        kj::Own<kj::PromiseFulfiller<std::size_t>> fulfiller; ///< Its promise.
+        kj::byte* destination = nullptr; ///< Where they go.
+        std::size_t min = 0;             ///< Least to return.
+        std::size_t max = 0;             ///< Most to return.
+        std::size_t copied = 0;          ///< Copied so far.
     };
 
-    state(asio::ip::tcp::socket s, stream_stats& t)
-        : socket(std::move(s)), totals(&t)
+    state(asio::ip::tcp::socket connected_socket, stream_stats& counters)
+        : socket(std::move(connected_socket)), totals(&counters)
     {
         auto paf = kj::newPromiseAndFulfiller<void>();
-        broken_promise = paf.promise.fork();
-        broken_fulfiller = kj::mv(paf.fulfiller);
+        disconnect_promise = paf.promise.fork();
+        disconnect_fulfiller = kj::mv(paf.fulfiller);
     }
 
-    asio::ip::tcp::socket socket;                 ///< The connection.
-    stream_stats* totals;                         ///< Counters.
-    std::array<kj::byte, read_buffer_bytes> in{}; ///< Read, not taken.
-    std::size_t in_begin = 0;                     ///< First byte of in.
-    std::size_t in_end = 0;                       ///< End of in.
-    bool reading = false;                         ///< A read is in flight.
-    bool at_end = false;                          ///< The peer closed.
-    std::string error;                            ///< Why it broke.
-    kj::Maybe<pending_read> waiting;              ///< The reader, if any.
-    std::string out;                              ///< Not yet sent.
-    std::string sending;                          ///< Being sent.
-    bool flush_posted = false;                    ///< A flush will run.
-    bool closed = false;                          ///< The owner is gone.
-    bool end_after_flush = false;                 ///< Shut down when sent.
-    kj::Maybe<kj::Own<kj::PromiseFulfiller<void>>> drained; ///< Slow writer.
-    kj::ForkedPromise<void> broken_promise = nullptr;     ///< Write side broke.
-    kj::Own<kj::PromiseFulfiller<void>> broken_fulfiller; ///< Its fulfiller.
+    asio::ip::tcp::socket socket;                          ///< The connection.
+    stream_stats* totals;                                  ///< Counters.
+    std::array<kj::byte, read_buffer_bytes> read_buffer{}; ///< Read, not taken.
+    std::size_t read_begin = 0;        ///< First byte of in.
+    std::size_t read_end = 0;          ///< End of in.
+    bool reading = false;              ///< A read is in flight.
+    bool end_of_stream = false;        ///< The peer closed.
+    std::string error;                 ///< Why it broke.
+    kj::Maybe<pending_read> reader;    ///< The reader, if any.
+    std::string unsent;                ///< Not yet sent.
+    std::string sending;               ///< Being sent.
+    bool flush_posted = false;         ///< A flush will run.
+    bool closed = false;               ///< The owner is gone.
+    bool shutdown_after_flush = false; ///< Shut down when sent.
+    kj::Maybe<kj::Own<kj::PromiseFulfiller<void>>>
+        drain_fulfiller;                                  ///< Slow writer.
+    kj::ForkedPromise<void> disconnect_promise = nullptr; ///< Write side broke.
+    kj::Own<kj::PromiseFulfiller<void>>
+        disconnect_fulfiller; ///< Its fulfiller.
 
     /// Moves buffered bytes to the reader.
     /// @return How many bytes were copied.
-    std::size_t take(kj::byte* to, std::size_t most)
+    std::size_t copy_buffered(kj::byte* destination, std::size_t max_bytes)
     {
-        const std::size_t count = std::min(most, in_end - in_begin);
-        std::memcpy(to, in.data() + in_begin, count);
-        in_begin += count;
+        const std::size_t count = std::min(max_bytes, read_end - read_begin);
+        std::memcpy(destination, read_buffer.data() + read_begin, count);
+        read_begin += count;
         return count;
     }
 
-    void serve_reader()
+    void complete_read()
     {
-        KJ_IF_MAYBE (read, waiting)
+        KJ_IF_MAYBE (read, reader)
         {
             // The reader may have lost interest, its buffer with it.
-            if (!read->done->isWaiting())
+            if (!read->fulfiller->isWaiting())
             {
-                waiting = nullptr;
+                reader = nullptr;
                 return;
             }
-            read->got += take(read->to + read->got, read->max - read->got);
-            if (read->got >= read->min || at_end)
+            read->copied += copy_buffered(read->destination + read->copied,
+                                          read->max - read->copied);
+            if (read->copied >= read->min || end_of_stream)
             {
-                auto done = kj::mv(read->done);
-                const std::size_t got = read->got;
-                waiting = nullptr;
-                done->fulfill(kj::cp(got));
+                auto fulfiller = kj::mv(read->fulfiller);
+                const std::size_t copied = read->copied;
+                reader = nullptr;
+                fulfiller->fulfill(kj::cp(copied));
             }
             else if (!error.empty())
             {
-                auto done = kj::mv(read->done);
-                waiting = nullptr;
-                done->reject(disconnected(error));
+                auto fulfiller = kj::mv(read->fulfiller);
+                reader = nullptr;
+                fulfiller->reject(disconnected_error(error));
             }
             else
             {
-                fill();
+                start_read();
             }
         }
     }
 
-    void fill()
+    void start_read()
     {
         if (reading)
             return;
         reading = true;
-        in_begin = in_end = 0;
+        read_begin = read_end = 0;
         socket.async_read_some(
-            asio::buffer(in),
+            asio::buffer(read_buffer),
             [self = shared_from_this()](error_code ec, std::size_t n)
-            { self->filled(ec, n); });
+            { self->handle_read(ec, n); });
     }
 
-    void filled(error_code ec, std::size_t n)
+    void handle_read(error_code ec, std::size_t n)
     {
         reading = false;
         if (closed)
             return;
         totals->bytes_in += n;
         ++totals->reads;
-        in_end = n;
+        read_end = n;
         if (ec == asio::error::eof)
-            at_end = true;
+            end_of_stream = true;
         else if (ec)
             fail(ec.message());
-        serve_reader();
+        complete_read();
     }
 
     void post_flush()
@@ -152,17 +155,17 @@
 
     void flush()
     {
-        if (out.empty() || !sending.empty() || !error.empty())
+        if (unsent.empty() || !sending.empty() || !error.empty())
             return;
-        sending.swap(out);
+        sending.swap(unsent);
         ++totals->writes;
         asio::async_write(
             socket, asio::buffer(sending),
             [self = shared_from_this()](error_code ec, std::size_t n)
-            { self->flushed(ec, n); });
+            { self->handle_write(ec, n); });
     }
 
-    void flushed(error_code ec, std::size_t n)
+    void handle_write(error_code ec, std::size_t n)
     {
         if (closed)
             return;
@@ -170,16 +173,16 @@
         sending.clear();
         if (ec)
             return fail(ec.message());
-        if (out.size() < unsent_limit_bytes)
+        if (unsent.size() < unsent_limit_bytes)
         {
-            KJ_IF_MAYBE (fulfiller, drained)
+            KJ_IF_MAYBE (fulfiller, drain_fulfiller)
             {
                 (*fulfiller)->fulfill();
-                drained = nullptr;
+                drain_fulfiller = nullptr;
             }
         }
         flush();
-        if (end_after_flush && sending.empty())
+        if (shutdown_after_flush && sending.empty())
             shut_down();
     }
 
@@ -193,13 +196,13 @@
     {
         if (error.empty())
             error = text;
-        broken_fulfiller->fulfill();
-        KJ_IF_MAYBE (fulfiller, drained)
+        disconnect_fulfiller->fulfill();
+        KJ_IF_MAYBE (fulfiller, drain_fulfiller)
         {
-            (*fulfiller)->reject(disconnected(error));
-            drained = nullptr;
+            (*fulfiller)->reject(disconnected_error(error));
+            drain_fulfiller = nullptr;
         }
-        serve_reader();
+        complete_read();
     }
 };
 
@@ -215,17 +218,17 @@
     state_->closed = true;
     // Operations in flight keep the state until the context drops them,
     // perhaps after the end of the KJ loop; its KJ parts must go now.
-    state_->waiting = nullptr;
-    state_->drained = nullptr;
-    state_->broken_fulfiller = nullptr;
-    state_->broken_promise = nullptr;
+    state_->reader = nullptr;
+    state_->drain_fulfiller = nullptr;
+    state_->disconnect_fulfiller = nullptr;
+    state_->disconnect_promise = nullptr;
     // A last message, such as an answer before a stop, still leaves.
-    if (state_->error.empty() && !state_->out.empty() &&
+    if (state_->error.empty() && !state_->unsent.empty() &&
         state_->sending.empty())
     {
         error_code ignored;
         state_->socket.non_blocking(true, ignored);
-        state_->socket.write_some(asio::buffer(state_->out), ignored);
+        state_->socket.write_some(asio::buffer(state_->unsent), ignored);
     }
     error_code ignored;
     state_->socket.close(ignored);
@@ -234,18 +237,18 @@
 kj::Promise<std::size_t>
 asio_stream::tryRead(void* buffer, std::size_t min_bytes, std::size_t max_bytes)
 {
-    auto* to = static_cast<kj::byte*>(buffer);
-    if (state_->in_end - state_->in_begin >= min_bytes)
-        return state_->take(to, max_bytes);
-    if (state_->at_end)
-        return state_->take(to, max_bytes);
+    auto* destination = static_cast<kj::byte*>(buffer);
+    if (state_->read_end - state_->read_begin >= min_bytes)
+        return state_->copy_buffered(destination, max_bytes);
+    if (state_->end_of_stream)
+        return state_->copy_buffered(destination, max_bytes);
     if (!state_->error.empty())
-        return disconnected(state_->error);
+        return disconnected_error(state_->error);
     auto paf = kj::newPromiseAndFulfiller<std::size_t>();
-    const std::size_t got = state_->take(to, max_bytes);
-    state_->waiting = state::pending_read{kj::mv(paf.fulfiller), to, min_bytes,
-                                          max_bytes, got};
-    state_->fill();
+    const std::size_t copied = state_->copy_buffered(destination, max_bytes);
+    state_->reader = state::pending_read{kj::mv(paf.fulfiller), destination,
+                                         min_bytes, max_bytes, copied};
+    state_->start_read();
     return kj::mv(paf.promise);
 }
 
@@ -260,27 +263,27 @@
 asio_stream::write(kj::ArrayPtr<const kj::ArrayPtr<const kj::byte>> pieces)
 {
     if (!state_->error.empty())
-        return disconnected(state_->error);
+        return disconnected_error(state_->error);
     for (const auto& piece : pieces)
-        state_->out.append(reinterpret_cast<const char*>(piece.begin()),
-                           piece.size());
+        state_->unsent.append(reinterpret_cast<const char*>(piece.begin()),
+                              piece.size());
     state_->post_flush();
-    if (state_->out.size() < unsent_limit_bytes)
+    if (state_->unsent.size() < unsent_limit_bytes)
         return kj::READY_NOW;
     auto paf = kj::newPromiseAndFulfiller<void>();
-    state_->drained = kj::mv(paf.fulfiller);
+    state_->drain_fulfiller = kj::mv(paf.fulfiller);
     return kj::mv(paf.promise);
 }
 
 kj::Promise<void> asio_stream::whenWriteDisconnected()
 {
-    return state_->broken_promise.addBranch();
+    return state_->disconnect_promise.addBranch();
 }
 
 void asio_stream::shutdownWrite()
 {
-    state_->end_after_flush = true;
-    if (state_->out.empty() && state_->sending.empty())
+    state_->shutdown_after_flush = true;
+    if (state_->unsent.empty() && state_->sending.empty())
         state_->shut_down();
 }
 
--- a/src/glenhollow/rpc/link_backoff.hpp
+++ b/src/glenhollow/rpc/link_backoff.hpp
@@ -12,13 +12,13 @@
 /// Limits of a link.
 struct rpc_link_settings
 {
-    duration first_backoff = milliseconds{40};    ///< After a failure.
-    duration longest_backoff = milliseconds{400}; ///< Between attempts.
+    duration initial_backoff = milliseconds{40}; ///< After a failure.
+    duration max_backoff = milliseconds{400};    ///< Between attempts.
     duration restart_backoff =
         milliseconds{160}; ///< Between attempts while the VM answers and
                            ///< nothing listens: its process starts again.
-    duration restart_time = seconds{2}; ///< That is believed so long; four
-                                        ///< times what a restart takes.
+    duration restart_window = seconds{2}; ///< That is believed so long; four
+                                          ///< times what a restart takes.
 };
 
 /// How long a link waits before it connects again.
@@ -27,14 +27,14 @@
 public:
     /// @param settings Limits.
     explicit link_backoff(const rpc_link_settings& settings)
-        : settings_(settings), next_(settings.first_backoff)
+        : settings_(settings), next_wait_(settings.initial_backoff)
     {
     }
 
     /// The link has a connection.
     void connected()
     {
-        next_ = settings_.first_backoff;
+        next_wait_ = settings_.initial_backoff;
         failing_since_.reset();
     }
 
@@ -47,17 +47,17 @@
         if (!failing_since_)
             failing_since_ = now;
         const bool restarting =
-            refused && now - *failing_since_ < settings_.restart_time;
-        const auto longest =
-            restarting ? settings_.restart_backoff : settings_.longest_backoff;
-        const auto wait = std::min(next_, longest);
-        next_ = std::min(next_ * 2, settings_.longest_backoff);
+            refused && now - *failing_since_ < settings_.restart_window;
+        const auto limit =
+            restarting ? settings_.restart_backoff : settings_.max_backoff;
+        const auto wait = std::min(next_wait_, limit);
+        next_wait_ = std::min(next_wait_ * 2, settings_.max_backoff);
         return wait;
     }
 
 private:
     rpc_link_settings settings_;           ///< Limits.
-    duration next_;                        ///< Unless it is bounded.
+    duration next_wait_;                   ///< Unless it is bounded.
     std::optional<instant> failing_since_; ///< Without a connection.
 };
 
--- a/src/glenhollow/rpc/rpc_connection.cpp
+++ b/src/glenhollow/rpc/rpc_connection.cpp
@@ -14,15 +14,16 @@
 namespace
 {
 
-constexpr duration connect_limit = milliseconds{400};
+constexpr duration connect_timeout = milliseconds{400};
 
 } // namespace
 
 void connect_rpc(boost::asio::io_context& io, const host_port& where,
-                 std::function<void(connect_result)> done)
+                 std::function<void(connect_result)> callback)
 {
     auto socket = std::make_shared<tcp::socket>(io);
-    auto timer = std::make_shared<boost::asio::steady_timer>(io, connect_limit);
+    auto timer =
+        std::make_shared<boost::asio::steady_timer>(io, connect_timeout);
     // A machine without power says nothing; the attempt must end all the same.
     timer->async_wait(
         [socket](boost::system::error_code ec)
@@ -30,17 +31,18 @@
             if (!ec)
                 socket->close(ec);
         });
-    const tcp::endpoint to(boost::asio::ip::make_address(where.host),
-                           where.port);
+    const tcp::endpoint endpoint(boost::asio::ip::make_address(where.host),
+                                 where.port);
     socket->async_connect(
-        to,
-        [socket, timer, done = std::move(done)](boost::system::error_code ec)
+        endpoint,
+        [socket, timer,
+         callback = std::move(callback)](boost::system::error_code ec)
         {
             timer->cancel();
             if (ec)
-                return done({std::nullopt,
-                             ec == boost::asio::error::connection_refused});
-            done({std::move(*socket), false});
+                return callback({std::nullopt,
+                                 ec == boost::asio::error::connection_refused});
+            callback({std::move(*socket), false});
         });
 }
 
--- a/src/glenhollow/rpc/rpc_connection.hpp
+++ b/src/glenhollow/rpc/rpc_connection.hpp
@@ -22,8 +22,8 @@
 public:
     /// @param socket A connected socket.
     /// @param bytes Counters to add to; outlives the connection.
-    rpc_connection(boost::asio::ip::tcp::socket socket, stream_stats& bytes)
-        : stream_(kj::heap<asio_stream>(std::move(socket), bytes)),
+    rpc_connection(boost::asio::ip::tcp::socket socket, stream_stats& stats)
+        : stream_(kj::heap<asio_stream>(std::move(socket), stats)),
           client_(kj::heap<capnp::TwoPartyClient>(*stream_))
     {
     }
@@ -51,7 +51,7 @@
 /// @param where The address.
 /// @param done Told the end.
 void connect_rpc(boost::asio::io_context& io, const host_port& where,
-                 std::function<void(connect_result)> done);
+                 std::function<void(connect_result)> callback);
 
 } // namespace glenhollow
 
--- a/src/glenhollow/rpc/rpc_link.cpp
+++ b/src/glenhollow/rpc/rpc_link.cpp
@@ -16,8 +16,8 @@
     /// Everything that dies with the connection.
     struct connection
     {
-        connection(tcp::socket socket, stream_stats& bytes)
-            : rpc(std::move(socket), bytes)
+        connection(tcp::socket socket, stream_stats& stats)
+            : rpc(std::move(socket), stats)
         {
         }
 
@@ -25,13 +25,13 @@
         background_tasks calls; ///< In flight.
     };
 
-    state(boost::asio::io_context& context, const clock_source& time,
-          host_port address, const rpc_link_settings& limits,
-          std::function<void(capnp::Capability::Client)> up_told,
-          std::function<void()> down_told)
-        : io(context), clock(time), where(std::move(address)),
-          on_up(std::move(up_told)), on_down(std::move(down_told)),
-          backoff(limits)
+    state(boost::asio::io_context& context, const clock_source& time_source,
+          host_port address, const rpc_link_settings& link_settings,
+          std::function<void(capnp::Capability::Client)> up_callback,
+          std::function<void()> down_callback)
+        : io(context), clock(time_source), where(std::move(address)),
+          on_up(std::move(up_callback)), on_down(std::move(down_callback)),
+          backoff(link_settings)
     {
     }
 
@@ -44,40 +44,40 @@
     bool connecting = false;             ///< An attempt is under way.
     bool closed = false;                 ///< The link is gone.
     bool refused = false;         ///< Nothing listened at the last attempt.
-    instant attempted{};          ///< When that one began.
+    instant attempted_at{};       ///< When that one began.
     std::uint64_t generation = 0; ///< Of the connection.
     instant retry_at{};           ///< When to connect.
     link_backoff backoff;         ///< Before the next attempt.
-    stream_stats bytes;           ///< What passed.
+    stream_stats stats;           ///< What passed.
 
     void connect()
     {
         connecting = true;
         connect_rpc(io, where,
-                    [self = shared_from_this(), mine = generation,
-                     begun = clock.now()](connect_result got)
+                    [self = shared_from_this(), own_generation = generation,
+                     started_at = clock.now()](connect_result outcome)
                     {
-                        if (self->closed || self->generation != mine)
+                        if (self->closed || self->generation != own_generation)
                             return;
                         self->connecting = false;
-                        self->refused = got.refused;
-                        self->attempted = begun;
-                        if (!got.socket)
+                        self->refused = outcome.refused;
+                        self->attempted_at = started_at;
+                        if (!outcome.socket)
                             return self->fail();
-                        self->connected(std::move(*got.socket));
+                        self->connected(std::move(*outcome.socket));
                     });
     }
 
     void connected(tcp::socket socket)
     {
-        current = std::make_shared<connection>(std::move(socket), bytes);
+        current = std::make_shared<connection>(std::move(socket), stats);
         backoff.connected();
         std::weak_ptr<state> weak = shared_from_this();
         current->calls.add(current->rpc.on_disconnect().then(
-            [weak, mine = generation]
+            [weak, own_generation = generation]
             {
                 const auto self = weak.lock();
-                if (self && !self->closed && self->generation == mine)
+                if (self && !self->closed && self->generation == own_generation)
                     self->fail();
             }));
         on_up(current->rpc.bootstrap());
@@ -85,14 +85,14 @@
 
     void fail()
     {
-        forget_connection();
+        release_connection();
         retry_at = clock.now() + backoff.failed(clock.now(), refused);
         if (on_down)
             on_down();
     }
 
     /// The connection may be what is calling us: it ends a turn later.
-    void forget_connection()
+    void release_connection()
     {
         ++generation;
         connecting = false;
@@ -116,7 +116,7 @@
 {
     state_->closed = true;
     state_->on_down = nullptr;
-    state_->forget_connection();
+    state_->release_connection();
 }
 
 bool rpc_link::due() const
@@ -151,7 +151,7 @@
 {
     if (!refused())
         return std::nullopt;
-    return state_->attempted;
+    return state_->attempted_at;
 }
 
 void rpc_link::add(kj::Promise<void> call)
--- a/src/glenhollow/rpc/rpc_listener.cpp
+++ b/src/glenhollow/rpc/rpc_listener.cpp
@@ -10,12 +10,12 @@
 rpc_listener::create(boost::asio::io_context& io, const std::string& address,
                      std::uint16_t port)
 {
-    std::unique_ptr<rpc_listener> made(new rpc_listener(io));
+    std::unique_ptr<rpc_listener> listener(new rpc_listener(io));
     error_code ec;
     const auto ip = boost::asio::ip::make_address(address, ec);
     if (ec)
         return failure{"address " + address + " is not an IP number"};
-    auto& acceptor = made->acceptor_;
+    auto& acceptor = listener->acceptor_;
     acceptor.open(ip.is_v4() ? tcp::v4() : tcp::v6(), ec);
     acceptor.set_option(tcp::acceptor::reuse_address(true), ec);
     acceptor.bind(tcp::endpoint(ip, port), ec);
@@ -24,8 +24,8 @@
     if (ec)
         return failure{"cannot listen on " + address + ":" +
                        std::to_string(port) + ": " + ec.message()};
-    made->port_ = acceptor.local_endpoint().port();
-    return made;
+    listener->port_ = acceptor.local_endpoint().port();
+    return listener;
 }
 
 void rpc_listener::serve(capnp::Capability::Client bootstrap)
--- a/src/glenhollow/rpc/rpc_loop.cpp
+++ b/src/glenhollow/rpc/rpc_loop.cpp
@@ -16,10 +16,10 @@
     kj::WaitScope scope(loop);
     const auto guard = boost::asio::make_work_guard(io_);
     auto paf = kj::newPromiseAndFulfiller<void>();
-    stopped_ = kj::mv(paf.fulfiller);
+    stop_fulfiller_ = kj::mv(paf.fulfiller);
     set_up();
     paf.promise.wait(scope);
-    stopped_ = nullptr;
+    stop_fulfiller_ = nullptr;
     tear_down();
     // Connections are dropped by handlers that are ready by now; they must
     // run while KJ is alive.
@@ -32,8 +32,8 @@
     boost::asio::post(io_,
                       [this]
                       {
-                          KJ_IF_MAYBE (stopped, stopped_)
-                              (*stopped)->fulfill();
+                          KJ_IF_MAYBE (fulfiller, stop_fulfiller_)
+                              (*fulfiller)->fulfill();
                       });
 }
 
--- a/src/glenhollow/rpc/rpc_loop.hpp
+++ b/src/glenhollow/rpc/rpc_loop.hpp
@@ -31,23 +31,24 @@
 
 private:
     boost::asio::io_context io_; ///< Runs everything.
-    kj::Maybe<kj::Own<kj::PromiseFulfiller<void>>> stopped_; ///< Ends run().
+    kj::Maybe<kj::Own<kj::PromiseFulfiller<void>>>
+        stop_fulfiller_; ///< Ends run().
 };
 
 /// Collects promises of which nobody waits for the end.
 class background_tasks final : private kj::TaskSet::ErrorHandler
 {
 public:
-    background_tasks() : set_(*this) {}
+    background_tasks() : tasks_(*this) {}
 
     /// @param promise Runs to its end; a failure is dropped, since whoever
     /// made it has handled the failures that matter.
-    void add(kj::Promise<void> promise) { set_.add(kj::mv(promise)); }
+    void add(kj::Promise<void> promise) { tasks_.add(kj::mv(promise)); }
 
 private:
     void taskFailed(kj::Exception&& exception) override;
 
-    kj::TaskSet set_; ///< The promises.
+    kj::TaskSet tasks_; ///< The promises.
 };
 
 } // namespace glenhollow
--- a/tests/unit/durable/agent_sessions_tests.cpp
+++ b/tests/unit/durable/agent_sessions_tests.cpp
@@ -106,7 +106,7 @@
             accounts_seen = entry.complete.size();
             time.advance(limits.silence + milliseconds{10});
             sessions.tick(); // Drops the silent session.
-            time.advance(limits.link.longest_backoff);
+            time.advance(limits.link.max_backoff);
         }
         sessions.tick();
         run_after(loop.io(), milliseconds{2}, step);
--- a/tests/unit/rpc/link_backoff_tests.cpp
+++ b/tests/unit/rpc/link_backoff_tests.cpp
@@ -9,17 +9,18 @@
 {
 
 /// @return The waits of a link whose attempts all fail at once.
-std::vector<std::int64_t> waits(link_backoff& backoff, bool refused,
-                                duration length)
+std::vector<std::int64_t> retry_delays(link_backoff& backoff, bool refused,
+                                       duration period)
 {
-    std::vector<std::int64_t> out;
-    for (instant now = seconds{100}; now < seconds{100} + length;)
+    std::vector<std::int64_t> delays;
+    for (instant now = seconds{100}; now < seconds{100} + period;)
     {
         const auto wait = backoff.failed(now, refused);
-        out.push_back(std::chrono::duration_cast<milliseconds>(wait).count());
+        delays.push_back(
+            std::chrono::duration_cast<milliseconds>(wait).count());
         now += wait;
     }
-    return out;
+    return delays;
 }
 
 } // namespace
@@ -27,7 +28,7 @@
 TEST_CASE("a link to a VM that says nothing waits longer and longer")
 {
     link_backoff backoff{rpc_link_settings{}};
-    CHECK(waits(backoff, false, seconds{1}) ==
+    CHECK(retry_delays(backoff, false, seconds{1}) ==
           std::vector<std::int64_t>{40, 80, 160, 320, 400});
 }
 
@@ -36,11 +37,13 @@
     // Found where agents were killed: they were ready 0.02 s after their start
     // and met 0.15 s later.
     link_backoff backoff{rpc_link_settings{}};
-    const auto all = waits(backoff, true, milliseconds{3200});
-    const std::vector<std::int64_t> first(all.begin(), all.begin() + 6);
-    CHECK(first == std::vector<std::int64_t>{40, 80, 160, 160, 160, 160});
-    CHECK(all.back() == 400); // It may be gone for good.
-    CHECK(all.size() < 20);
+    const auto delays = retry_delays(backoff, true, milliseconds{3200});
+    const std::vector<std::int64_t> first_delays(delays.begin(),
+                                                 delays.begin() + 6);
+    CHECK(first_delays ==
+          std::vector<std::int64_t>{40, 80, 160, 160, 160, 160});
+    CHECK(delays.back() == 400); // It may be gone for good.
+    CHECK(delays.size() < 20);
     backoff.connected();
-    CHECK(waits(backoff, true, milliseconds{100}).front() == 40);
+    CHECK(retry_delays(backoff, true, milliseconds{100}).front() == 40);
 }
