--- a/src/glenhollow/rpc/asio_event_port.hpp
+++ b/src/glenhollow/rpc/asio_event_port.hpp
@@ -10,28 +10,29 @@
 namespace glenhollow
 {
 
-/// Lets KJ's event loop sleep in an Asio io_context, so that one thread runs
-/// Cap'n Proto RPC and Asio handlers alike.
+/// Runs the KJ event loop on top of an Asio io_context, so that one thread
+/// serves both Cap'n Proto RPC and Asio handlers.
 class asio_event_port final : public kj::EventPort
 {
 public:
-    /// @param io The context to run; it outlives the port.
+    /// @param io The context to run; must outlive the port.
     explicit asio_event_port(boost::asio::io_context& io) : io_(io) {}
 
-    /// Runs at least one Asio handler.
+    /// Blocks until at least one Asio handler has run.
     /// @return Whether wake() was called since the last call.
     bool wait() override;
 
-    /// Runs the Asio handlers that are ready.
+    /// Runs the Asio handlers that are ready, without blocking.
     /// @return Whether wake() was called since the last call.
     bool poll() override;
 
-    /// Makes wait() return; called from any thread.
+    /// Makes wait() return. Thread-safe.
     void wake() const override;
 
 private:
-    boost::asio::io_context& io_;            ///< Runs all handlers.
-    mutable std::atomic<bool> woken_{false}; ///< wake() was called.
+    boost::asio::io_context& io_;
+    mutable std::atomic<bool> woken_{
+        false}; ///< Set by wake(), cleared by wait() and poll().
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/rpc/asio_stream.cpp
+++ b/src/glenhollow/rpc/asio_stream.cpp
@@ -29,17 +29,17 @@
 
 } // namespace
 
-/// Everything an operation in flight needs after the stream is gone.
+/// State shared with pending operations, which may outlive the stream.
 struct asio_stream::state : std::enable_shared_from_this<state>
 {
-    /// A read that waits for bytes.
+    /// A tryRead() call that waits for more bytes.
     struct pending_read
     {
-        kj::Own<kj::PromiseFulfiller<std::size_t>> fulfiller; ///< Its promise.
-        kj::byte* destination = nullptr; ///< Where they go.
-        std::size_t min = 0;             ///< Least to return.
-        std::size_t max = 0;             ///< Most to return.
-        std::size_t copied = 0;          ///< Copied so far.
+        kj::Own<kj::PromiseFulfiller<std::size_t>> fulfiller;
+        kj::byte* destination = nullptr; ///< Buffer of the caller.
+        std::size_t min = 0;             ///< Minimum bytes to return.
+        std::size_t max = 0;             ///< Maximum bytes to return.
+        std::size_t copied = 0;          ///< Bytes copied so far.
     };
 
     state(asio::ip::tcp::socket connected_socket, stream_stats& counters)
@@ -50,28 +50,28 @@
         disconnect_fulfiller = kj::mv(paf.fulfiller);
     }
 
-    asio::ip::tcp::socket socket;                          ///< The connection.
-    stream_stats* totals;                                  ///< Counters.
-    std::array<kj::byte, read_buffer_bytes> read_buffer{}; ///< Read, not taken.
-    std::size_t read_begin = 0;        ///< First byte of in.
-    std::size_t read_end = 0;          ///< End of in.
-    bool reading = false;              ///< A read is in flight.
-    bool end_of_stream = false;        ///< The peer closed.
-    std::string error;                 ///< Why it broke.
-    kj::Maybe<pending_read> reader;    ///< The reader, if any.
-    std::string unsent;                ///< Not yet sent.
-    std::string sending;               ///< Being sent.
-    bool flush_posted = false;         ///< A flush will run.
-    bool closed = false;               ///< The owner is gone.
-    bool shutdown_after_flush = false; ///< Shut down when sent.
+    asio::ip::tcp::socket socket;
+    stream_stats* totals; ///< Traffic counters.
+    std::array<kj::byte, read_buffer_bytes> read_buffer{}; ///< Bytes received.
+    std::size_t read_begin = 0;     ///< Offset of the first unconsumed byte.
+    std::size_t read_end = 0;       ///< Offset past the last received byte.
+    bool reading = false;           ///< A socket read is pending.
+    bool end_of_stream = false;     ///< The peer has closed its side.
+    std::string error;              ///< Error text after a failure, else empty.
+    kj::Maybe<pending_read> reader; ///< The pending tryRead(), if any.
+    std::string unsent;             ///< Bytes queued for the next socket write.
+    std::string sending;            ///< Bytes of the pending socket write.
+    bool flush_posted = false;      ///< A call of flush() is scheduled.
+    bool closed = false;            ///< The stream has been destroyed.
+    bool shutdown_after_flush = false; ///< shutdownWrite() was called.
     kj::Maybe<kj::Own<kj::PromiseFulfiller<void>>>
-        drain_fulfiller;                                  ///< Slow writer.
-    kj::ForkedPromise<void> disconnect_promise = nullptr; ///< Write side broke.
-    kj::Own<kj::PromiseFulfiller<void>>
-        disconnect_fulfiller; ///< Its fulfiller.
+        drain_fulfiller; ///< Resolves a write() held by backpressure.
+    kj::ForkedPromise<void> disconnect_promise =
+        nullptr; ///< Resolves when the socket fails.
+    kj::Own<kj::PromiseFulfiller<void>> disconnect_fulfiller;
 
-    /// Moves buffered bytes to the reader.
-    /// @return How many bytes were copied.
+    /// Consumes up to max_bytes of the read buffer.
+    /// @return The number of bytes copied.
     std::size_t copy_buffered(kj::byte* destination, std::size_t max_bytes)
     {
         const std::size_t count = std::min(max_bytes, read_end - read_begin);
@@ -84,7 +84,7 @@
     {
         KJ_IF_MAYBE (read, reader)
         {
-            // The reader may have lost interest, its buffer with it.
+            // If the caller has cancelled the read, its buffer may be freed.
             if (!read->fulfiller->isWaiting())
             {
                 reader = nullptr;
@@ -216,13 +216,13 @@
 asio_stream::~asio_stream() noexcept(false)
 {
     state_->closed = true;
-    // Operations in flight keep the state until the context drops them,
-    // perhaps after the end of the KJ loop; its KJ parts must go now.
+    // Pending operations may keep the state alive after the KJ event loop has
+    // ended, so the KJ objects in it are released here.
     state_->reader = nullptr;
     state_->drain_fulfiller = nullptr;
     state_->disconnect_fulfiller = nullptr;
     state_->disconnect_promise = nullptr;
-    // A last message, such as an answer before a stop, still leaves.
+    // Tries to send queued bytes, such as the last response before a shutdown.
     if (state_->error.empty() && !state_->unsent.empty() &&
         state_->sending.empty())
     {
--- a/src/glenhollow/rpc/asio_stream.hpp
+++ b/src/glenhollow/rpc/asio_stream.hpp
@@ -11,23 +11,25 @@
 namespace glenhollow
 {
 
-/// What passed through one stream.
+/// Traffic counters of one or more streams.
 struct stream_stats
 {
     std::uint64_t bytes_in = 0;  ///< Bytes read from the socket.
-    std::uint64_t bytes_out = 0; ///< Bytes handed to the socket.
-    std::uint64_t reads = 0;     ///< Reads that returned bytes.
-    std::uint64_t writes = 0;    ///< Writes, each with all that was waiting.
+    std::uint64_t bytes_out = 0; ///< Bytes written to the socket.
+    std::uint64_t reads = 0;     ///< Completed socket reads.
+    std::uint64_t writes = 0;    ///< Socket writes started.
 };
 
-/// A KJ stream over an Asio socket. Writes of one turn of the loop leave in
-/// one system call; reads fill a buffer that serves the small reads of the RPC
-/// layer. A destroyed stream cancels its operations.
+/// A KJ stream over an Asio socket. Writes made in one iteration of the event
+/// loop are coalesced into one socket write; reads go through a buffer because
+/// the RPC layer reads in small pieces. Destroying the stream cancels its
+/// pending operations.
 class asio_stream final : public kj::AsyncIoStream
 {
 public:
     /// @param socket A connected socket.
-    /// @param totals Counters to add to; may be shared, outlives the stream.
+    /// @param totals Counters to add to; may be shared between streams and must
+    /// outlive them.
     asio_stream(boost::asio::ip::tcp::socket socket, stream_stats& totals);
     ~asio_stream() noexcept(false);
 
@@ -42,7 +44,7 @@
 
 private:
     struct state;
-    std::shared_ptr<state> state_; ///< Kept alive by operations in flight.
+    std::shared_ptr<state> state_; ///< Shared with pending operations.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/rpc/link_backoff.hpp
+++ b/src/glenhollow/rpc/link_backoff.hpp
@@ -9,38 +9,43 @@
 namespace glenhollow
 {
 
-/// Limits of a link.
+/// Reconnect settings of an RPC link.
 struct rpc_link_settings
 {
-    duration initial_backoff = milliseconds{40}; ///< After a failure.
-    duration max_backoff = milliseconds{400};    ///< Between attempts.
-    duration restart_backoff =
-        milliseconds{160}; ///< Between attempts while the VM answers and
-                           ///< nothing listens: its process starts again.
-    duration restart_window = seconds{2}; ///< That is believed so long; four
-                                          ///< times what a restart takes.
+    /// Wait after the first failure; doubles with each further failure.
+    duration initial_backoff = milliseconds{40};
+
+    /// Longest wait between attempts.
+    duration max_backoff = milliseconds{400};
+
+    /// Longest wait while the remote process is assumed to be restarting: the
+    /// VM refuses the connection and restart_window has not passed.
+    duration restart_backoff = milliseconds{160};
+
+    /// Time after the first failure in which refused connections count as a
+    /// restart.
+    duration restart_window = seconds{2};
 };
 
-/// How long a link waits before it connects again.
+/// Exponential backoff between the connection attempts of a link.
 class link_backoff final
 {
 public:
-    /// @param settings Limits.
     explicit link_backoff(const rpc_link_settings& settings)
         : settings_(settings), next_wait_(settings.initial_backoff)
     {
     }
 
-    /// The link has a connection.
+    /// Resets the backoff after a successful connection.
     void connected()
     {
         next_wait_ = settings_.initial_backoff;
         failing_since_.reset();
     }
 
-    /// A connection, or an attempt to connect, has failed.
-    /// @param now The time.
-    /// @param refused Whether the VM answered that nothing listens.
+    /// Records a lost connection or a failed attempt to connect.
+    /// @param refused Whether the VM refused the connection, as it does when
+    /// no process listens on the port.
     /// @return The wait before the next attempt.
     duration failed(instant now, bool refused)
     {
@@ -56,9 +61,10 @@
     }
 
 private:
-    rpc_link_settings settings_;           ///< Limits.
-    duration next_wait_;                   ///< Unless it is bounded.
-    std::optional<instant> failing_since_; ///< Without a connection.
+    rpc_link_settings settings_;
+    duration next_wait_; ///< Next wait, before the limit is applied.
+    std::optional<instant> failing_since_; ///< Time of the first failure since
+                                           ///< the last connection.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/rpc/rpc_connection.cpp
+++ b/src/glenhollow/rpc/rpc_connection.cpp
@@ -24,7 +24,7 @@
     auto socket = std::make_shared<tcp::socket>(io);
     auto timer =
         std::make_shared<boost::asio::steady_timer>(io, connect_timeout);
-    // A machine without power says nothing; the attempt must end all the same.
+    // A VM that is down sends no response, so the attempt needs a timeout.
     timer->async_wait(
         [socket](boost::system::error_code ec)
         {
--- a/src/glenhollow/rpc/rpc_connection.hpp
+++ b/src/glenhollow/rpc/rpc_connection.hpp
@@ -16,40 +16,40 @@
 namespace glenhollow
 {
 
-/// The client's end of one RPC connection. Calls end when it is destroyed.
+/// Client side of one RPC connection. Its destruction cancels pending calls.
 class rpc_connection final
 {
 public:
     /// @param socket A connected socket.
-    /// @param bytes Counters to add to; outlives the connection.
+    /// @param stats Counters to add to; must outlive the connection.
     rpc_connection(boost::asio::ip::tcp::socket socket, stream_stats& stats)
         : stream_(kj::heap<asio_stream>(std::move(socket), stats)),
           client_(kj::heap<capnp::TwoPartyClient>(*stream_))
     {
     }
 
-    /// @return Fulfilled when the connection is gone.
+    /// @return A promise that resolves when the connection is lost.
     kj::Promise<void> on_disconnect() { return client_->onDisconnect(); }
 
-    /// @return The interface that the server offers.
+    /// @return The bootstrap interface of the server.
     capnp::Capability::Client bootstrap() { return client_->bootstrap(); }
 
 private:
-    kj::Own<asio_stream> stream_;           ///< The socket.
-    kj::Own<capnp::TwoPartyClient> client_; ///< The RPC system.
+    kj::Own<asio_stream> stream_;
+    kj::Own<capnp::TwoPartyClient> client_;
 };
 
-/// How an attempt to connect ended.
+/// Result of a connection attempt.
 struct connect_result
 {
-    std::optional<boost::asio::ip::tcp::socket> socket; ///< When connected.
-    bool refused = false; ///< The machine is there and nothing listens.
+    std::optional<boost::asio::ip::tcp::socket>
+        socket;           ///< The connected socket, absent on failure.
+    bool refused = false; ///< The VM is reachable but refused the connection.
 };
 
-/// Opens a TCP connection.
-/// @param io Runs it.
-/// @param where The address.
-/// @param done Told the end.
+/// Opens a TCP connection asynchronously; the attempt fails after a timeout.
+/// @param where Address and port of the server; the host is an IP address.
+/// @param callback Called once with the result.
 void connect_rpc(boost::asio::io_context& io, const host_port& where,
                  std::function<void(connect_result)> callback);
 
--- a/src/glenhollow/rpc/rpc_link.cpp
+++ b/src/glenhollow/rpc/rpc_link.cpp
@@ -13,7 +13,7 @@
 
 struct rpc_link::state : std::enable_shared_from_this<state>
 {
-    /// Everything that dies with the connection.
+    /// Objects with the lifetime of one connection.
     struct connection
     {
         connection(tcp::socket socket, stream_stats& stats)
@@ -21,8 +21,8 @@
         {
         }
 
-        rpc_connection rpc;     ///< The RPC system.
-        background_tasks calls; ///< In flight.
+        rpc_connection rpc;
+        background_tasks calls; ///< Pending calls.
     };
 
     state(boost::asio::io_context& context, const clock_source& time_source,
@@ -35,20 +35,21 @@
     {
     }
 
-    boost::asio::io_context& io;                          ///< Runs it.
-    const clock_source& clock;                            ///< For the backoff.
-    host_port where;                                      ///< The address.
-    std::function<void(capnp::Capability::Client)> on_up; ///< Told.
-    std::function<void()> on_down;                        ///< Told.
-    std::shared_ptr<connection> current; ///< Null while there is none.
-    bool connecting = false;             ///< An attempt is under way.
-    bool closed = false;                 ///< The link is gone.
-    bool refused = false;         ///< Nothing listened at the last attempt.
-    instant attempted_at{};       ///< When that one began.
-    std::uint64_t generation = 0; ///< Of the connection.
-    instant retry_at{};           ///< When to connect.
-    link_backoff backoff;         ///< Before the next attempt.
-    stream_stats stats;           ///< What passed.
+    boost::asio::io_context& io;
+    const clock_source& clock;
+    host_port where;
+    std::function<void(capnp::Capability::Client)> on_up;
+    std::function<void()> on_down;
+    std::shared_ptr<connection> current; ///< Null while not connected.
+    bool connecting = false;             ///< A connection attempt is pending.
+    bool closed = false;                 ///< The link has been destroyed.
+    bool refused = false;         ///< The last completed attempt was refused.
+    instant attempted_at{};       ///< Start time of the last completed attempt.
+    std::uint64_t generation = 0; ///< Incremented when a connection or attempt
+                                  ///< ends, to ignore late callbacks.
+    instant retry_at{};           ///< Earliest time of the next attempt.
+    link_backoff backoff;
+    stream_stats stats; ///< Traffic of all connections.
 
     void connect()
     {
@@ -91,7 +92,8 @@
             on_down();
     }
 
-    /// The connection may be what is calling us: it ends a turn later.
+    /// Destroys the connection from a posted handler, because the caller may be
+    /// a callback of that connection.
     void release_connection()
     {
         ++generation;
--- a/src/glenhollow/rpc/rpc_link.hpp
+++ b/src/glenhollow/rpc/rpc_link.hpp
@@ -18,50 +18,53 @@
 namespace glenhollow
 {
 
-/// Keeps one RPC connection to one address, and makes it again when it is
-/// lost. Runs inside an rpc_loop.
+/// Maintains an RPC connection to one address and reconnects with backoff after
+/// a failure. Must be used inside an rpc_loop.
 class rpc_link final
 {
 public:
-    /// @param io Runs it.
-    /// @param clock Outlives the link.
-    /// @param where The address.
-    /// @param settings Limits.
-    /// @param on_up Told the server's interface.
-    /// @param on_down Told that the connection, or an attempt, has failed.
+    /// @param clock Time source of the backoff; must outlive the link.
+    /// @param where Address and port of the server.
+    /// @param on_up Called with the server's bootstrap interface after each
+    /// successful connection.
+    /// @param on_down Called after a lost connection, a failed attempt or
+    /// drop().
     rpc_link(boost::asio::io_context& io, const clock_source& clock,
              host_port where, const rpc_link_settings& settings,
              std::function<void(capnp::Capability::Client)> on_up,
              std::function<void()> on_down);
     ~rpc_link();
 
-    /// Connects when that is due.
+    /// Starts a connection attempt if one is due.
     void tick();
 
-    /// @return Whether tick() would begin an attempt to connect now.
+    /// @return Whether tick() would start a connection attempt now.
     bool due() const;
 
-    /// Drops the connection, to be made again later.
+    /// Closes the connection or abandons the pending attempt, and calls
+    /// on_down. The link reconnects after the backoff.
     void drop();
 
-    /// @return Whether there is a connection.
+    /// @return Whether the link is connected.
     bool up() const;
 
-    /// @return Whether nothing listened there at the last attempt.
+    /// @return Whether the link is down and its last completed attempt was
+    /// refused.
     bool refused() const;
 
-    /// @return When the last attempt began, if nothing listened there then.
+    /// @return The start time of the last completed attempt if refused(), else
+    /// nothing.
     std::optional<instant> refused_at() const;
 
-    /// @param call Dies with the connection.
+    /// Runs a call in the background until the connection ends; the call is
+    /// cancelled then, or at once when the link is down.
     void add(kj::Promise<void> call);
 
-    /// @return The address.
     const host_port& where() const;
 
 private:
     struct state;
-    std::shared_ptr<state> state_; ///< Shared with attempts under way.
+    std::shared_ptr<state> state_; ///< Shared with pending connection attempts.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/rpc/rpc_listener.cpp
+++ b/src/glenhollow/rpc/rpc_listener.cpp
@@ -57,7 +57,7 @@
 
 void rpc_listener::collect(metric_page& page) const
 {
-    constexpr std::string_view help = "Bytes over links, server side";
+    constexpr std::string_view help = "Bytes on accepted RPC connections";
     page.counter("link_server_bytes_total", help,
                  static_cast<double>(stats_.bytes_in), R"(direction="in")");
     page.counter("link_server_bytes_total", help,
--- a/src/glenhollow/rpc/rpc_listener.hpp
+++ b/src/glenhollow/rpc/rpc_listener.hpp
@@ -21,35 +21,38 @@
 class rpc_listener final
 {
 public:
-    /// @param io Runs the connections, inside an rpc_loop.
-    /// @param address Where to listen, IP number.
-    /// @param port 0: the kernel picks one.
-    /// @return A listener that takes connections after serve(), or why not.
+    /// Binds and listens; connections are accepted after serve().
+    /// @param io The context of the rpc_loop that runs the connections.
+    /// @param address IP address to listen on.
+    /// @param port Port to listen on; 0 lets the kernel pick one.
+    /// @return The listener, or the reason why it cannot listen.
     static result<std::unique_ptr<rpc_listener>>
     create(boost::asio::io_context& io, const std::string& address,
            std::uint16_t port);
 
-    /// Starts to take connections; called inside the rpc_loop.
+    /// Starts to accept connections. Must be called inside the rpc_loop.
     /// @param bootstrap The interface offered to each connection.
     void serve(capnp::Capability::Client bootstrap);
 
-    /// Ends all connections; called inside the rpc_loop.
+    /// Stops listening and closes all connections. Must be called inside the
+    /// rpc_loop.
     void close();
 
-    /// @return The port it listens on.
+    /// @return The bound port.
     std::uint16_t port() const { return port_; }
 
-    /// @param page Gets the bytes that passed.
+    /// Adds the traffic counters to a metrics page.
     void collect(metric_page& page) const;
 
 private:
     explicit rpc_listener(boost::asio::io_context& io) : acceptor_(io) {}
     void accept();
 
-    boost::asio::ip::tcp::acceptor acceptor_;       ///< Listens.
-    std::uint16_t port_ = 0;                        ///< Its port.
-    stream_stats stats_;                            ///< Of all connections.
-    std::unique_ptr<capnp::TwoPartyServer> server_; ///< The connections.
+    boost::asio::ip::tcp::acceptor acceptor_;
+    std::uint16_t port_ = 0; ///< The bound port.
+    stream_stats stats_;     ///< Traffic of all connections.
+    std::unique_ptr<capnp::TwoPartyServer>
+        server_; ///< Owns the connections; null unless serving.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/rpc/rpc_loop.cpp
+++ b/src/glenhollow/rpc/rpc_loop.cpp
@@ -21,8 +21,8 @@
     paf.promise.wait(scope);
     stop_fulfiller_ = nullptr;
     tear_down();
-    // Connections are dropped by handlers that are ready by now; they must
-    // run while KJ is alive.
+    // Runs the posted handlers that destroy connections, which need the KJ
+    // event loop.
     io_.restart();
     io_.poll();
 }
--- a/src/glenhollow/rpc/rpc_loop.hpp
+++ b/src/glenhollow/rpc/rpc_loop.hpp
@@ -10,45 +10,45 @@
 namespace glenhollow
 {
 
-/// One thread's loop: an io_context that also turns a KJ event loop.
+/// Event loop of one thread: an io_context that also runs a KJ event loop.
 class rpc_loop final
 {
 public:
     rpc_loop() : io_(1) {}
     ~rpc_loop() noexcept = default;
 
-    /// @return The context; handlers may be posted to it from any thread.
+    /// @return The context. Handlers may be posted to it from any thread.
     boost::asio::io_context& io() { return io_; }
 
-    /// Runs on the calling thread until stop().
-    /// @param set_up Called first, with KJ ready.
-    /// @param tear_down Called last, with KJ still alive.
+    /// Runs the loop on the calling thread until stop() is called.
+    /// @param set_up Called before the loop starts; may use KJ.
+    /// @param tear_down Called after the loop has stopped; may still use KJ.
     void run(const std::function<void()>& set_up,
              const std::function<void()>& tear_down);
 
-    /// Ends run(); called from any thread.
+    /// Makes run() return. Thread-safe.
     void stop();
 
 private:
-    boost::asio::io_context io_; ///< Runs everything.
+    boost::asio::io_context io_;
     kj::Maybe<kj::Own<kj::PromiseFulfiller<void>>>
-        stop_fulfiller_; ///< Ends run().
+        stop_fulfiller_; ///< Set while run() waits for stop().
 };
 
-/// Collects promises of which nobody waits for the end.
+/// Owns promises that no caller waits for.
 class background_tasks final : private kj::TaskSet::ErrorHandler
 {
 public:
     background_tasks() : tasks_(*this) {}
 
-    /// @param promise Runs to its end; a failure is dropped, since whoever
-    /// made it has handled the failures that matter.
+    /// Runs a promise until it completes. Its failure is ignored: the caller
+    /// attaches its own error handling where needed.
     void add(kj::Promise<void> promise) { tasks_.add(kj::mv(promise)); }
 
 private:
     void taskFailed(kj::Exception&& exception) override;
 
-    kj::TaskSet tasks_; ///< The promises.
+    kj::TaskSet tasks_;
 };
 
 } // namespace glenhollow
