--- a/src/glenhollow/entry/control_plane.cpp
+++ b/src/glenhollow/entry/control_plane.cpp
@@ -438,7 +438,7 @@
                                  [this](const std::vector<night_report>& all)
                                  {
                                      for (const auto& one : all)
-                                         report_.take_over(one);
+                                         report_.merge(one);
                                  });
 }
 
@@ -567,7 +567,7 @@
     page.counter("report_lines_summed_total",
                  "Night report lines merged into summaries while the object "
                  "store was unavailable",
-                 static_cast<double>(report_.summed_up()));
+                 static_cast<double>(report_.summarized_lines()));
 }
 
 } // namespace glenhollow
--- a/src/glenhollow/entry/coordinator.cpp
+++ b/src/glenhollow/entry/coordinator.cpp
@@ -146,7 +146,7 @@
     record.runner = runner;
     record.why = why;
     record.what = what;
-    record.micros = to_micros(length);
+    record.duration_us = to_micros(length);
     ring_.add(record);
 }
 
--- a/src/glenhollow/entry/operator_service_why.cpp
+++ b/src/glenhollow/entry/operator_service_why.cpp
@@ -34,8 +34,9 @@
 std::string describe(const decision_record& record, const std::string& runner)
 {
     const std::string why(to_name(record.why));
-    const std::string ms = std::to_string(record.micros / 1000) + "." +
-                           std::to_string(record.micros % 1000 / 100) + " ms";
+    const std::string ms = std::to_string(record.duration_us / 1000) + "." +
+                           std::to_string(record.duration_us % 1000 / 100) +
+                           " ms";
     switch (record.kind)
     {
     case decision_kind::admitted:
--- a/src/glenhollow/explain/decision_ring.hpp
+++ b/src/glenhollow/explain/decision_ring.hpp
@@ -45,12 +45,12 @@
 /// One decision, in a fixed size.
 struct decision_record
 {
-    std::int64_t wall = 0;      ///< When, ns since 1970.
-    std::uint64_t sequence = 0; ///< Submission, 0 where there is none.
-    std::uint32_t task = 0;     ///< Task in it.
-    std::uint32_t runner = 0;   ///< Runner by number, from 1; 0: none.
-    std::uint32_t micros = 0;   ///< A length of time that belongs to it.
-    reason why = reason::none;  ///< Why it fell so.
+    std::int64_t wall = 0;         ///< When, ns since 1970.
+    std::uint64_t sequence = 0;    ///< Submission, 0 where there is none.
+    std::uint32_t task = 0;        ///< Task in it.
+    std::uint32_t runner = 0;      ///< Runner by number, from 1; 0: none.
+    std::uint32_t duration_us = 0; ///< A length of time that belongs to it.
+    reason why = reason::none;     ///< Why it fell so.
     decision_kind kind = decision_kind::admitted; ///< What was decided.
     verdict what = verdict::not_run;              ///< For ends and failures.
 };
--- a/src/glenhollow/explain/night_report.cpp
+++ b/src/glenhollow/explain/night_report.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-std::string text_at(const json::object& from, std::string_view key)
+std::string string_at(const json::object& from, std::string_view key)
 {
     const auto* value = from.if_contains(key);
     return value && value->is_string() ? value->get_string().c_str() : "";
@@ -49,45 +49,45 @@
     if (ec || !parsed.is_object())
         return std::nullopt;
     const auto& from = parsed.get_object();
-    const auto kind = from_name<decision_kind>(text_at(from, "decision"));
-    const auto why = from_name<reason>(text_at(from, "reason"));
-    const auto what = from_name<verdict>(text_at(from, "verdict"));
+    const auto kind = from_name<decision_kind>(string_at(from, "decision"));
+    const auto why = from_name<reason>(string_at(from, "reason"));
+    const auto what = from_name<verdict>(string_at(from, "verdict"));
     const auto* at = from.if_contains("at");
     if (!kind || !why || !what || !at || !at->is_number())
         return std::nullopt;
     return report_line{at->to_number<std::int64_t>(),
-                       text_at(from, "entry"),
+                       string_at(from, "entry"),
                        *kind,
                        *why,
                        *what,
-                       text_at(from, "submission"),
-                       text_at(from, "runner"),
-                       text_at(from, "by"),
-                       text_at(from, "detail")};
+                       string_at(from, "submission"),
+                       string_at(from, "runner"),
+                       string_at(from, "by"),
+                       string_at(from, "detail")};
 }
 
 void night_report::add(report_line line)
 {
     lines_.push_back(std::move(line));
-    bound();
+    enforce_limit();
 }
 
-void night_report::take_over(const night_report& other)
+void night_report::merge(const night_report& other)
 {
-    for (const auto& [key, times] : other.summed_)
-        summed_[key] += times;
-    summed_up_ += other.summed_up_;
+    for (const auto& [key, times] : other.summaries_)
+        summaries_[key] += times;
+    summarized_lines_ += other.summarized_lines_;
     other.for_each([this](const report_line& line) { add(line); });
 }
 
-void night_report::bound()
+void night_report::enforce_limit()
 {
-    while (lines_.size() + batch_.size() > settings_.most_lines &&
+    while (lines_.size() + batch_.size() > settings_.max_lines &&
            !lines_.empty())
     {
         const auto& oldest = lines_.front();
-        ++summed_[{oldest.kind, oldest.why}];
-        ++summed_up_;
+        ++summaries_[{oldest.kind, oldest.why}];
+        ++summarized_lines_;
         lines_.pop_front();
     }
 }
@@ -95,10 +95,10 @@
 std::string night_report::take_batch()
 {
     failed();
-    const auto count = std::min(lines_.size(), settings_.most_per_object);
+    const auto count = std::min(lines_.size(), settings_.max_lines_per_object);
     std::string content;
-    batch_summed_ = std::exchange(summed_, {});
-    for (const auto& [key, times] : batch_summed_)
+    batch_summaries_ = std::exchange(summaries_, {});
+    for (const auto& [key, times] : batch_summaries_)
     {
         report_line sum;
         sum.wall = wall_nanoseconds();
@@ -119,7 +119,7 @@
 void night_report::written()
 {
     batch_.clear();
-    batch_summed_.clear();
+    batch_summaries_.clear();
 }
 
 void night_report::failed()
@@ -127,10 +127,10 @@
     for (auto line = batch_.rbegin(); line != batch_.rend(); ++line)
         lines_.push_front(std::move(*line));
     batch_.clear();
-    for (const auto& [key, times] : batch_summed_)
-        summed_[key] += times;
-    batch_summed_.clear();
-    bound();
+    for (const auto& [key, times] : batch_summaries_)
+        summaries_[key] += times;
+    batch_summaries_.clear();
+    enforce_limit();
 }
 
 void night_report::for_each(
--- a/src/glenhollow/explain/night_report.hpp
+++ b/src/glenhollow/explain/night_report.hpp
@@ -41,8 +41,8 @@
 /// Limits of the report.
 struct night_report_settings
 {
-    std::size_t most_lines = 20'000;     ///< Waiting; older ones are summed up.
-    std::size_t most_per_object = 5'000; ///< In one object.
+    std::size_t max_lines = 20'000; ///< Waiting; older ones are summed up.
+    std::size_t max_lines_per_object = 5'000; ///< In one object.
 };
 
 /// Lines that wait to be written to the object store. While the store is away
@@ -62,10 +62,10 @@
 
     /// Adds all that waits in another report, its sums too.
     /// @param other The report of another thread.
-    void take_over(const night_report& other);
+    void merge(const night_report& other);
 
     /// @return Whether there is anything to write.
-    bool empty() const { return lines_.empty() && summed_.empty(); }
+    bool empty() const { return lines_.empty() && summaries_.empty(); }
 
     /// Takes lines for one object.
     /// @return Its content, one JSON object a line.
@@ -81,29 +81,29 @@
     std::size_t size() const { return lines_.size() + batch_.size(); }
 
     /// @return Lines summed up so far.
-    std::uint64_t summed_up() const { return summed_up_; }
+    std::uint64_t summarized_lines() const { return summarized_lines_; }
 
     /// @param visit Called with each line that waits.
     void for_each(const std::function<void(const report_line&)>& visit) const;
 
 private:
     /// What summed up lines had in common.
-    struct sum_key
+    struct summary_key
     {
         decision_kind kind = decision_kind::refused; ///< What.
         reason why = reason::none;                   ///< Why.
 
-        auto operator<=>(const sum_key&) const = default;
+        auto operator<=>(const summary_key&) const = default;
     };
 
-    void bound();
+    void enforce_limit();
 
-    night_report_settings settings_;                ///< Limits.
-    std::deque<report_line> lines_;                 ///< Oldest first.
-    std::deque<report_line> batch_;                 ///< Being written.
-    std::map<sum_key, std::uint64_t> summed_;       ///< Counts of the oldest.
-    std::map<sum_key, std::uint64_t> batch_summed_; ///< Being written.
-    std::uint64_t summed_up_ = 0;                   ///< Lines in all sums.
+    night_report_settings settings_;                 ///< Limits.
+    std::deque<report_line> lines_;                  ///< Oldest first.
+    std::deque<report_line> batch_;                  ///< Being written.
+    std::map<summary_key, std::uint64_t> summaries_; ///< Counts of the oldest.
+    std::map<summary_key, std::uint64_t> batch_summaries_; ///< Being written.
+    std::uint64_t summarized_lines_ = 0; ///< Lines in all sums.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/security/token.cpp
+++ b/src/glenhollow/security/token.cpp
@@ -14,8 +14,8 @@
 {
 
 constexpr std::string_view bearer_prefix = "Bearer ";
-constexpr std::string_view unnamed_operator = "operator";
-constexpr std::size_t least_token_length = 8;
+constexpr std::string_view default_operator_name = "operator";
+constexpr std::size_t min_token_length = 8;
 
 } // namespace
 
@@ -55,20 +55,20 @@
     while (!text.empty())
     {
         const auto comma = text.find(',');
-        auto one = text.substr(0, comma);
+        auto item = text.substr(0, comma);
         text.remove_prefix(comma == std::string_view::npos ? text.size()
                                                            : comma + 1);
-        const auto colon = one.find(':');
-        std::string_view name = unnamed_operator;
+        const auto colon = item.find(':');
+        std::string_view name = default_operator_name;
         if (colon != std::string_view::npos)
         {
-            name = one.substr(0, colon);
-            one.remove_prefix(colon + 1);
+            name = item.substr(0, colon);
+            item.remove_prefix(colon + 1);
         }
-        if (!is_name(name) || one.size() < least_token_length)
+        if (!is_name(name) || item.size() < min_token_length)
             return failure{"must be NAME:TOKEN[,NAME:TOKEN...] with tokens of "
                            "8 characters or more"};
-        tokens.entries_.push_back({std::string(name), hash_token(one)});
+        tokens.entries_.push_back({std::string(name), hash_token(item)});
     }
     return tokens;
 }
@@ -79,10 +79,10 @@
     const auto token = bearer_token(authorization);
     std::optional<std::string> owner;
     // All are compared, so that the time tells nothing of who matched.
-    for (const auto& one : entries_)
+    for (const auto& item : entries_)
     {
-        if (token_matches(token, one.hash))
-            owner = one.name;
+        if (token_matches(token, item.hash))
+            owner = item.name;
     }
     return owner;
 }
--- a/src/glenhollow/supervision/supervisor.cpp
+++ b/src/glenhollow/supervision/supervisor.cpp
@@ -21,12 +21,12 @@
 {
     children_.push_back({std::move(child), policy,
                          boost::asio::steady_timer(io_),
-                         settings_.first_backoff});
+                         settings_.initial_backoff});
 }
 
 void supervisor::start(failed_handler failed)
 {
-    failed_ = std::move(failed);
+    on_failure_ = std::move(failed);
     running_ = true;
     for (std::size_t i = 0; i < children_.size() && running_; ++i)
         start_child(i);
@@ -44,20 +44,20 @@
 
 void supervisor::start_child(std::size_t index)
 {
-    children_[index].child->start([this, index](const std::string& why)
-                                  { child_failed(index, why); });
+    children_[index].child->start([this, index](const std::string& cause)
+                                  { child_failed(index, cause); });
 }
 
 bool supervisor::too_many_restarts()
 {
     const instant now = process_clock().now();
-    recent_.push_back(now);
-    while (recent_.front() < now - settings_.window)
-        recent_.pop_front();
-    return recent_.size() > settings_.most_restarts;
+    recent_restarts_.push_back(now);
+    while (recent_restarts_.front() < now - settings_.restart_window)
+        recent_restarts_.pop_front();
+    return recent_restarts_.size() > settings_.max_restarts;
 }
 
-void supervisor::child_failed(std::size_t index, const std::string& why)
+void supervisor::child_failed(std::size_t index, const std::string& cause)
 {
     if (!running_)
         return;
@@ -65,16 +65,16 @@
     log_change(log_level::warning, "child_failed",
                {{"supervisor", name_},
                 {"child", failed.child->name()},
-                {"cause", why}});
+                {"cause", cause}});
     failed.child->stop();
     if (failed.policy == restart_policy::escalate || too_many_restarts())
     {
         stop();
-        return failed_(failed.child->name() + ": " + why);
+        return on_failure_(failed.child->name() + ": " + cause);
     }
     ++restarts_;
     failed.timer.expires_after(failed.backoff);
-    failed.backoff = std::min(failed.backoff * 2, settings_.longest_backoff);
+    failed.backoff = std::min(failed.backoff * 2, settings_.max_backoff);
     failed.timer.async_wait(
         [this, index](boost::system::error_code ec)
         {
@@ -92,23 +92,23 @@
 
 void periodic_task::start(failed_handler failed)
 {
-    failed_ = std::move(failed);
-    wait();
+    on_failure_ = std::move(failed);
+    schedule_next_run();
 }
 
 void periodic_task::stop()
 {
-    failed_ = nullptr;
+    on_failure_ = nullptr;
     timer_.cancel();
 }
 
-void periodic_task::wait()
+void periodic_task::schedule_next_run()
 {
     timer_.expires_after(interval_);
     timer_.async_wait(
         [this](boost::system::error_code ec)
         {
-            if (!ec && failed_)
+            if (!ec && on_failure_)
                 run();
         });
 }
@@ -121,18 +121,18 @@
     }
     catch (const std::exception& error)
     {
-        const auto failed = std::exchange(failed_, nullptr);
+        const auto failed = std::exchange(on_failure_, nullptr);
         return failed(error.what());
     }
-    if (failed_)
-        wait();
+    if (on_failure_)
+        schedule_next_run();
 }
 
 thread_task::thread_task(std::string name, boost::asio::io_context& io,
                          std::function<void()> work,
-                         std::function<void()> ask_to_stop)
+                         std::function<void()> request_stop)
     : name_(std::move(name)), io_(io), work_(std::move(work)),
-      ask_to_stop_(std::move(ask_to_stop))
+      request_stop_(std::move(request_stop))
 {
 }
 
@@ -146,7 +146,7 @@
     thread_ = std::thread(
         [this, failed = std::move(failed)]
         {
-            std::string why = "ended by itself";
+            std::string cause = "ended by itself";
             try
             {
                 work_();
@@ -154,9 +154,9 @@
             }
             catch (const std::exception& error)
             {
-                why = error.what();
+                cause = error.what();
             }
-            boost::asio::post(io_, [failed, why] { failed(why); });
+            boost::asio::post(io_, [failed, cause] { failed(cause); });
         });
 }
 
@@ -164,7 +164,7 @@
 {
     if (!thread_.joinable())
         return;
-    ask_to_stop_();
+    request_stop_();
     thread_.join();
 }
 
--- a/src/glenhollow/supervision/supervisor.hpp
+++ b/src/glenhollow/supervision/supervisor.hpp
@@ -48,10 +48,11 @@
 /// Limits of restarts.
 struct supervisor_settings
 {
-    duration first_backoff = milliseconds{100}; ///< Doubles with each failure.
-    duration longest_backoff = seconds{10};     ///< The doubling ends here.
-    std::size_t most_restarts = 20;             ///< Within the window.
-    duration window = seconds{120};             ///< Of the count of restarts.
+    duration initial_backoff =
+        milliseconds{100};                  ///< Doubles with each failure.
+    duration max_backoff = seconds{10};     ///< The doubling ends here.
+    std::size_t max_restarts = 20;          ///< Within the window.
+    duration restart_window = seconds{120}; ///< Of the count of restarts.
 };
 
 /// Starts children in order, stops them in reverse, restarts the one that
@@ -87,17 +88,17 @@
     };
 
     void start_child(std::size_t index);
-    void child_failed(std::size_t index, const std::string& why);
+    void child_failed(std::size_t index, const std::string& cause);
     bool too_many_restarts();
 
-    std::string name_;             ///< In logs.
-    boost::asio::io_context& io_;  ///< Runs the timers.
-    supervisor_settings settings_; ///< Limits.
-    std::vector<entry> children_;  ///< In order of start.
-    failed_handler failed_;        ///< The parent.
-    std::deque<instant> recent_;   ///< Times of restarts in the window.
-    std::uint64_t restarts_ = 0;   ///< Of all children.
-    bool running_ = false;         ///< Between start and stop.
+    std::string name_;                    ///< In logs.
+    boost::asio::io_context& io_;         ///< Runs the timers.
+    supervisor_settings settings_;        ///< Limits.
+    std::vector<entry> children_;         ///< In order of start.
+    failed_handler on_failure_;           ///< The parent.
+    std::deque<instant> recent_restarts_; ///< Times of restarts in the window.
+    std::uint64_t restarts_ = 0;          ///< Of all children.
+    bool running_ = false;                ///< Between start and stop.
 };
 
 /// A function that runs again and again on an io_context. An exception out of
@@ -118,13 +119,13 @@
 
 private:
     void run();
-    void wait();
+    void schedule_next_run();
 
     std::string name_;                ///< In logs.
     boost::asio::steady_timer timer_; ///< Until the next run.
     duration interval_;               ///< Between runs.
     std::function<void()> work_;      ///< The function.
-    failed_handler failed_;           ///< The supervisor.
+    failed_handler on_failure_;       ///< The supervisor.
 };
 
 /// A function that runs on a thread of its own until it is asked to stop. An
@@ -134,10 +135,10 @@
 public:
     /// @param name In logs.
     /// @param io The supervisor's thread, where failures are reported.
-    /// @param work Runs until `ask_to_stop` is called.
-    /// @param ask_to_stop Makes `work` return; called from another thread.
+    /// @param work Runs until `request_stop` is called.
+    /// @param request_stop Makes `work` return; called from another thread.
     thread_task(std::string name, boost::asio::io_context& io,
-                std::function<void()> work, std::function<void()> ask_to_stop);
+                std::function<void()> work, std::function<void()> request_stop);
     ~thread_task() override;
 
     const std::string& name() const override { return name_; }
@@ -145,11 +146,11 @@
     void stop() override;
 
 private:
-    std::string name_;                  ///< In logs.
-    boost::asio::io_context& io_;       ///< The supervisor's thread.
-    std::function<void()> work_;        ///< The function.
-    std::function<void()> ask_to_stop_; ///< Ends it.
-    std::thread thread_;                ///< Runs it.
+    std::string name_;                   ///< In logs.
+    boost::asio::io_context& io_;        ///< The supervisor's thread.
+    std::function<void()> work_;         ///< The function.
+    std::function<void()> request_stop_; ///< Ends it.
+    std::thread thread_;                 ///< Runs it.
 };
 
 } // namespace glenhollow
--- a/tests/unit/explain/night_report_tests.cpp
+++ b/tests/unit/explain/night_report_tests.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-report_line refusal(int number)
+report_line make_refusal(int number)
 {
     report_line line;
     line.wall = number;
@@ -21,7 +21,7 @@
     return line;
 }
 
-std::size_t lines_in(const std::string& batch)
+std::size_t count_lines(const std::string& batch)
 {
     return static_cast<std::size_t>(
         std::count(batch.begin(), batch.end(), '\n'));
@@ -46,7 +46,7 @@
 
 TEST_CASE("a line survives being written and read")
 {
-    auto line = refusal(5);
+    auto line = make_refusal(5);
     line.by = "anna";
     line.detail = "a \"quoted\" text";
     const auto read = report_line::from_json(line.to_json());
@@ -58,11 +58,11 @@
 TEST_CASE("lines that could not be written wait, in order")
 {
     night_report report;
-    report.add(refusal(1));
-    report.add(refusal(2));
+    report.add(make_refusal(1));
+    report.add(make_refusal(2));
     const auto first = report.take_batch();
     report.failed();
-    report.add(refusal(3));
+    report.add(make_refusal(3));
     REQUIRE(report.take_batch().starts_with(first));
     report.written();
     REQUIRE(report.empty());
@@ -71,19 +71,19 @@
 TEST_CASE("beyond the limit the oldest are summed up, none dropped silently")
 {
     night_report_settings small;
-    small.most_lines = 10;
+    small.max_lines = 10;
     night_report report(small);
     for (int i = 0; i < 25; ++i)
-        report.add(refusal(i));
+        report.add(make_refusal(i));
     REQUIRE(report.size() == 10);
-    REQUIRE(report.summed_up() == 15);
+    REQUIRE(report.summarized_lines() == 15);
     const auto batch = report.take_batch();
-    REQUIRE(lines_in(batch) == 11);
+    REQUIRE(count_lines(batch) == 11);
     REQUIRE(batch.find("15 older lines") != std::string::npos);
     report.failed();
     REQUIRE(report.take_batch().find("15 older lines") != std::string::npos);
     // A shard's report is taken over with its sums.
     night_report whole;
-    whole.take_over(report);
-    REQUIRE(whole.summed_up() == 15);
+    whole.merge(report);
+    REQUIRE(whole.summarized_lines() == 15);
 }
--- a/tests/unit/supervision/supervisor_tests.cpp
+++ b/tests/unit/supervision/supervisor_tests.cpp
@@ -10,10 +10,10 @@
 {
 
 /// A part that fails when the test says so.
-class fake_part final : public supervised
+class fake_child final : public supervised
 {
 public:
-    explicit fake_part(std::string name) : name_(std::move(name)) {}
+    explicit fake_child(std::string name) : name_(std::move(name)) {}
 
     const std::string& name() const override { return name_; }
     void start(failed_handler failed) override
@@ -36,16 +36,16 @@
 {
     boost::asio::io_context io{1};
     supervisor root;
-    fake_part* one = nullptr;
-    fake_part* two = nullptr;
+    fake_child* one = nullptr;
+    fake_child* two = nullptr;
     std::string failed;
 
     explicit fixture(restart_policy policy,
-                     supervisor_settings settings = quick())
+                     supervisor_settings settings = fast_settings())
         : root("root", io, settings)
     {
-        auto first = std::make_unique<fake_part>("one");
-        auto second = std::make_unique<fake_part>("two");
+        auto first = std::make_unique<fake_child>("one");
+        auto second = std::make_unique<fake_child>("two");
         one = first.get();
         two = second.get();
         root.add(std::move(first), policy);
@@ -53,11 +53,11 @@
         root.start([this](const std::string& why) { failed = why; });
     }
 
-    static supervisor_settings quick()
+    static supervisor_settings fast_settings()
     {
         supervisor_settings settings;
-        settings.first_backoff = milliseconds{1};
-        settings.most_restarts = 3;
+        settings.initial_backoff = milliseconds{1};
+        settings.max_restarts = 3;
         return settings;
     }
 
