--- a/src/glenhollow/explain/decision_ring.hpp
+++ b/src/glenhollow/explain/decision_ring.hpp
@@ -13,23 +13,23 @@
 namespace glenhollow
 {
 
-/// What was decided.
+/// The kinds of decisions that are recorded.
 enum class decision_kind : std::uint8_t
 {
-    admitted,  ///< A job was taken.
-    refused,   ///< A job was refused before anything ran.
-    joined,    ///< A resubmission joined its job or got its answer.
-    placed,    ///< A task was sent to a runner.
-    ended,     ///< A task's end came back.
-    retried,   ///< A task will be sent again.
-    completed, ///< A job was answered whole.
-    failed,    ///< A job was marked failed.
+    admitted,  ///< A job was accepted.
+    refused,   ///< A job was refused before any task ran.
+    joined,    ///< A resubmission was attached to its job or answered.
+    placed,    ///< A task was sent to a backend server.
+    ended,     ///< The end of a task was reported.
+    retried,   ///< A task was scheduled for a retry.
+    completed, ///< A job was answered completely.
+    failed,    ///< A job was marked as failed.
     cancelled, ///< An operator cancelled a job.
-    drained,   ///< A runner gets no more work.
-    undrained, ///< A runner gets work again.
-    ejected,   ///< Health took a runner out.
-    returned,  ///< Health let a runner back.
-    adopted,   ///< A dead entry's jobs were taken over.
+    drained,   ///< A backend server was closed to new tasks.
+    undrained, ///< A backend server was reopened to tasks.
+    ejected,   ///< Health checks ejected a backend server.
+    returned,  ///< Health checks readmitted a backend server.
+    adopted,   ///< The jobs of a failed entry were taken over.
     changed    ///< An operator changed the configuration.
 };
 
@@ -42,63 +42,65 @@
         "undrained", "ejected",   "returned", "adopted",   "changed"};
 };
 
-/// One decision, in a fixed size.
+/// The fixed-size record of one decision.
 struct decision_record
 {
-    std::int64_t wall = 0;         ///< When, ns since 1970.
-    std::uint64_t sequence = 0;    ///< Submission, 0 where there is none.
-    std::uint32_t task = 0;        ///< Task in it.
-    std::uint32_t runner = 0;      ///< Runner by number, from 1; 0: none.
-    std::uint32_t duration_us = 0; ///< A length of time that belongs to it.
-    reason why = reason::none;     ///< Why it fell so.
-    decision_kind kind = decision_kind::admitted; ///< What was decided.
-    verdict what = verdict::not_run;              ///< For ends and failures.
+    std::int64_t wall = 0;         ///< Time, ns since the Unix epoch.
+    std::uint64_t sequence = 0;    ///< Submission number; 0 if none.
+    std::uint32_t task = 0;        ///< Task index within the submission.
+    std::uint32_t runner = 0;      ///< Backend server number from 1; 0 if none.
+    std::uint32_t duration_us = 0; ///< Duration related to the decision, us.
+    reason why = reason::none;     ///< Reason for the decision.
+    decision_kind kind = decision_kind::admitted;
+    verdict what = verdict::not_run; ///< Outcome of a task or job.
 };
 
 static_assert(sizeof(decision_record) == 32);
 
-/// The last decisions of one thread, the oldest overwritten. Bounded.
+/// A ring buffer of the latest decisions of one thread. Once it is full, each
+/// new record overwrites the oldest one.
 class decision_ring final
 {
 public:
-    /// Told of decisions that must outlive the process.
+    /// Receives the decisions that must outlive the process.
     using notable_handler = std::function<void(const decision_record&)>;
 
-    /// @param capacity Records kept; memory grows to that as needed.
+    /// @param capacity The maximum number of records; memory grows up to it
+    /// on demand.
     explicit decision_ring(std::size_t capacity) : capacity_(capacity) {}
 
-    /// @param handler Told of refusals, failures, drains and ejections.
+    /// @param handler Called with each decision for which is_notable() holds.
     void on_notable(notable_handler handler) { notable_ = std::move(handler); }
 
-    /// @param record A decision just made; its time is filled in.
+    /// Records a decision and sets its time to the current time.
     void add(decision_record record);
 
-    /// @param visit Called with each kept record, oldest first.
+    /// Calls `visit` with each record, oldest first.
     void
     for_each(const std::function<void(const decision_record&)>& visit) const;
 
-    /// @return Decisions made since the start.
+    /// @return The number of decisions added so far, including overwritten
+    /// ones.
     std::uint64_t total() const { return total_; }
 
-    /// @return Records kept now.
+    /// @return The number of records in the buffer.
     std::size_t size() const { return records_.size(); }
 
-    /// @return Bytes of the records.
+    /// @return The memory allocated for records, in bytes.
     std::size_t bytes() const
     {
         return records_.capacity() * sizeof(decision_record);
     }
 
 private:
-    std::size_t capacity_;                 ///< Most records.
-    std::vector<decision_record> records_; ///< A ring once it is full.
-    std::size_t next_ = 0;                 ///< Place of the next record.
-    std::uint64_t total_ = 0;              ///< Since the start.
+    std::size_t capacity_;
+    std::vector<decision_record> records_; ///< Used as a ring once it is full.
+    std::size_t next_ = 0;                 ///< Index of the next overwrite.
+    std::uint64_t total_ = 0;              ///< All decisions added.
     notable_handler notable_;              ///< May be empty.
 };
 
-/// @param kind What was decided.
-/// @return Whether the decision is kept in the object store.
+/// @return Whether decisions of this kind are written to the object store.
 bool is_notable(decision_kind kind);
 
 } // namespace glenhollow
--- a/src/glenhollow/explain/night_report.hpp
+++ b/src/glenhollow/explain/night_report.hpp
@@ -17,93 +17,93 @@
 namespace glenhollow
 {
 
-/// A decision as it is kept in the object store: names in place of numbers.
+/// A decision as stored in the object store, with names instead of numbers.
 struct report_line
 {
-    std::int64_t wall = 0;                       ///< When, ns since 1970.
-    std::string entry;                           ///< Who decided.
-    decision_kind kind = decision_kind::refused; ///< What.
-    reason why = reason::none;                   ///< Why.
-    verdict what = verdict::not_run;             ///< For failures.
-    std::string submission;                      ///< May be empty.
-    std::string runner;                          ///< May be empty.
-    std::string by;     ///< Which operator, may be empty.
-    std::string detail; ///< Such as a statement, may be empty.
-
-    /// @return One JSON object.
+    std::int64_t wall = 0; ///< Time, ns since the Unix epoch.
+    std::string entry;     ///< Name of the entry that decided.
+    decision_kind kind = decision_kind::refused; ///< Kind of the decision.
+    reason why = reason::none;                   ///< Reason for it.
+    verdict what = verdict::not_run;             ///< Outcome of a failure.
+    std::string submission;                      ///< Empty if none.
+    std::string runner;                          ///< Empty if none.
+    std::string by;     ///< Name of the operator; empty if none.
+    std::string detail; ///< Free text, such as a statement; may be empty.
+
+    /// @return The line as one JSON object.
     std::string to_json() const;
 
-    /// @param text What to_json() gave.
-    /// @return The line, or nothing.
+    /// Parses the result of to_json().
+    /// @return The line, or nothing if the text is malformed.
     static std::optional<report_line> from_json(const std::string& text);
 };
 
-/// Limits of the report.
+/// Limits on the size of the report.
 struct night_report_settings
 {
-    std::size_t max_lines = 20'000; ///< Waiting; older ones are summed up.
-    std::size_t max_lines_per_object = 5'000; ///< In one object.
+    std::size_t max_lines = 20'000;           ///< Pending lines kept.
+    std::size_t max_lines_per_object = 5'000; ///< Lines in one object.
 };
 
-/// Lines that wait to be written to the object store. While the store is away
-/// they are kept up to a limit; beyond it the oldest are summed up by kind and
-/// reason, never dropped without a trace. Pure state.
+/// A queue of report lines to be written to the object store. While the store
+/// is unavailable, lines are kept up to a limit; beyond it, the oldest lines
+/// are replaced by counts per kind and reason. Performs no I/O.
 class night_report final
 {
 public:
-    /// @param settings Limits.
     explicit night_report(const night_report_settings& settings = {})
         : settings_(settings)
     {
     }
 
-    /// @param line A decision to keep.
+    /// Appends a line; beyond the limit, the oldest line is only counted.
     void add(report_line line);
 
-    /// Adds all that waits in another report, its sums too.
-    /// @param other The report of another thread.
+    /// Adds the pending lines and the summaries of another thread's report.
     void merge(const night_report& other);
 
-    /// @return Whether there is anything to write.
+    /// @return Whether no line and no summary is pending, apart from the batch
+    /// being written.
     bool empty() const { return lines_.empty() && summaries_.empty(); }
 
-    /// Takes lines for one object.
-    /// @return Its content, one JSON object a line.
+    /// Moves pending lines into a batch that fills one object.
+    /// @return The object's content, one JSON object per line.
     std::string take_batch();
 
-    /// The last batch was written.
+    /// Discards the last batch after it was written.
     void written();
 
-    /// The last batch was not written; its lines wait again.
+    /// Returns the last batch to the queue after its write failed.
     void failed();
 
-    /// @return Lines that wait, without summed up ones.
+    /// @return The number of lines held, excluding summarized ones.
     std::size_t size() const { return lines_.size() + batch_.size(); }
 
-    /// @return Lines summed up so far.
+    /// @return The number of lines replaced by counts so far.
     std::uint64_t summarized_lines() const { return summarized_lines_; }
 
-    /// @param visit Called with each line that waits.
+    /// Calls `visit` with each line held, oldest first.
     void for_each(const std::function<void(const report_line&)>& visit) const;
 
 private:
-    /// What summed up lines had in common.
+    /// The properties by which old lines are counted.
     struct summary_key
     {
-        decision_kind kind = decision_kind::refused; ///< What.
-        reason why = reason::none;                   ///< Why.
+        decision_kind kind = decision_kind::refused;
+        reason why = reason::none;
 
         auto operator<=>(const summary_key&) const = default;
     };
 
     void enforce_limit();
 
-    night_report_settings settings_;                 ///< Limits.
-    std::deque<report_line> lines_;                  ///< Oldest first.
-    std::deque<report_line> batch_;                  ///< Being written.
-    std::map<summary_key, std::uint64_t> summaries_; ///< Counts of the oldest.
-    std::map<summary_key, std::uint64_t> batch_summaries_; ///< Being written.
-    std::uint64_t summarized_lines_ = 0; ///< Lines in all sums.
+    night_report_settings settings_;
+    std::deque<report_line> lines_; ///< Pending lines, oldest first.
+    std::deque<report_line> batch_; ///< Lines being written.
+    std::map<summary_key, std::uint64_t> summaries_; ///< Pending counts.
+    /// Counts being written.
+    std::map<summary_key, std::uint64_t> batch_summaries_;
+    std::uint64_t summarized_lines_ = 0; ///< All lines ever counted.
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/security/token.cpp
+++ b/src/glenhollow/security/token.cpp
@@ -78,7 +78,8 @@
 {
     const auto token = bearer_token(authorization);
     std::optional<std::string> owner;
-    // All are compared, so that the time tells nothing of who matched.
+    // Compares with every entry so that the response time does not reveal which
+    // entry matched.
     for (const auto& item : entries_)
     {
         if (token_matches(token, item.hash))
--- a/src/glenhollow/security/token.hpp
+++ b/src/glenhollow/security/token.hpp
@@ -11,41 +11,42 @@
 namespace glenhollow
 {
 
-/// @param token A secret.
-/// @return Its SHA-256 in hex; only that is ever kept or sent on.
+/// Hashes a secret token, so that only its hash is stored or forwarded.
+/// @return The SHA-256 digest in lower-case hexadecimal.
 std::string hash_token(std::string_view token);
 
-/// @param authorization The value of an Authorization header.
-/// @return The bearer token in it, or empty.
+/// Extracts the bearer token from the value of an Authorization header.
+/// @return The token, or an empty view if the scheme is not `Bearer`.
 std::string_view bearer_token(std::string_view authorization);
 
-/// @param token A secret that a caller sent.
-/// @param hash What hash_token() gave for the right one.
-/// @return Whether it is the right one; takes the same time for any wrong one.
+/// Compares a token from a caller with the stored hash of the expected token.
+/// The hashes are compared in constant time.
+/// @param hash The result of hash_token() for the expected token.
 bool token_matches(std::string_view token, std::string_view hash);
 
-/// The operators who may give statements.
+/// The names and token hashes of the operators who may send statements.
 class operator_tokens final
 {
 public:
+    /// Parses the list of operators.
     /// @param text `NAME:TOKEN[,NAME:TOKEN...]`; a token without a name belongs
     /// to `operator`.
-    /// @return The tokens, or what is wrong with the text.
+    /// @return The tokens, or an error message if the text is malformed.
     static result<operator_tokens> parse(std::string_view text);
 
     /// @param authorization The value of an Authorization header.
-    /// @return Whose token it has, or nothing.
+    /// @return The name of the operator whose bearer token the header carries,
+    /// or nothing if no token matches.
     std::optional<std::string> owner_of(std::string_view authorization) const;
 
 private:
-    /// One operator.
     struct entry
     {
-        std::string name; ///< Who.
-        std::string hash; ///< Of the token.
+        std::string name;
+        std::string hash; ///< The result of hash_token().
     };
 
-    std::vector<entry> entries_; ///< All operators.
+    std::vector<entry> entries_;
 };
 
 } // namespace glenhollow
--- a/src/glenhollow/supervision/supervisor.hpp
+++ b/src/glenhollow/supervision/supervisor.hpp
@@ -18,98 +18,98 @@
 namespace glenhollow
 {
 
-/// A part of a process that a supervisor starts, stops and restarts.
+/// A component of a process that a supervisor starts, stops and restarts.
 class supervised
 {
 public:
-    /// Told once after each start that ends by itself, with the cause.
+    /// Receives the cause of a failure; called at most once per start().
     using failed_handler = std::function<void(std::string)>;
 
     virtual ~supervised() = default;
 
-    /// @return Its name in logs.
+    /// @return The component's name in logs.
     virtual const std::string& name() const = 0;
 
-    /// Starts it.
-    /// @param failed Called on the supervisor's thread when it fails.
+    /// Starts the component.
+    /// @param failed Called on the supervisor's thread when the component
+    /// fails.
     virtual void start(failed_handler failed) = 0;
 
-    /// Stops it; no failure is reported after.
+    /// Stops the component. No failure is reported after this call.
     virtual void stop() = 0;
 };
 
-/// What to do when a child fails.
+/// The supervisor's reaction to the failure of a child.
 enum class restart_policy : std::uint8_t
 {
-    restart, ///< Start it again after a backoff.
-    escalate ///< The parent fails: its state cannot be rebuilt.
+    restart, ///< The child is restarted after a backoff.
+    escalate ///< The supervisor fails: a restart cannot rebuild the state.
 };
 
-/// Limits of restarts.
+/// Limits on the rate of restarts.
 struct supervisor_settings
 {
-    duration initial_backoff =
-        milliseconds{100};                  ///< Doubles with each failure.
-    duration max_backoff = seconds{10};     ///< The doubling ends here.
-    std::size_t max_restarts = 20;          ///< Within the window.
-    duration restart_window = seconds{120}; ///< Of the count of restarts.
+    /// The delay before the first restart; doubles with each failure.
+    duration initial_backoff = milliseconds{100};
+    duration max_backoff = seconds{10}; ///< The upper limit of the backoff.
+    std::size_t max_restarts = 20;      ///< The limit per restart window.
+    /// The period over which restarts are counted.
+    duration restart_window = seconds{120};
 };
 
-/// Starts children in order, stops them in reverse, restarts the one that
-/// fails. Too many restarts make the supervisor itself fail.
+/// Starts its children in the order of add() and stops them in reverse order.
+/// A child that fails is restarted alone, after a backoff. More restarts than
+/// the limit within the restart window make the supervisor itself fail.
 class supervisor final : public supervised
 {
 public:
-    /// @param name In logs.
+    /// @param name The supervisor's name in logs.
     /// @param io Runs the backoff timers.
-    /// @param settings Limits.
     supervisor(std::string name, boost::asio::io_context& io,
                const supervisor_settings& settings = {});
 
-    /// @param child A part to run, before start().
-    /// @param policy What to do when it fails.
+    /// Adds a child; to be called before start().
+    /// @param policy The reaction to a failure of the child.
     void add(std::unique_ptr<supervised> child, restart_policy policy);
 
     const std::string& name() const override { return name_; }
     void start(failed_handler failed) override;
     void stop() override;
 
-    /// @return Restarts of children so far.
+    /// @return The number of restarts of all children so far.
     std::uint64_t restarts() const { return restarts_; }
 
 private:
-    /// A child with its restarts.
+    /// A child and the state of its restarts.
     struct entry
     {
-        std::unique_ptr<supervised> child; ///< The part.
-        restart_policy policy;             ///< When it fails.
-        boost::asio::steady_timer timer;   ///< Until the next start.
-        duration backoff;                  ///< Before the next restart.
+        std::unique_ptr<supervised> child;
+        restart_policy policy;           ///< The reaction to a failure.
+        boost::asio::steady_timer timer; ///< Expires at the next restart.
+        duration backoff;                ///< The delay before the next restart.
     };
 
     void start_child(std::size_t index);
     void child_failed(std::size_t index, const std::string& cause);
     bool too_many_restarts();
 
-    std::string name_;                    ///< In logs.
-    boost::asio::io_context& io_;         ///< Runs the timers.
-    supervisor_settings settings_;        ///< Limits.
-    std::vector<entry> children_;         ///< In order of start.
-    failed_handler on_failure_;           ///< The parent.
-    std::deque<instant> recent_restarts_; ///< Times of restarts in the window.
-    std::uint64_t restarts_ = 0;          ///< Of all children.
-    bool running_ = false;                ///< Between start and stop.
+    std::string name_;
+    boost::asio::io_context& io_;
+    supervisor_settings settings_;
+    std::vector<entry> children_; ///< All children, in start order.
+    failed_handler on_failure_;   ///< Receives this component's failure.
+    std::deque<instant> recent_restarts_; ///< Times within the restart window.
+    std::uint64_t restarts_ = 0;          ///< The total over all children.
+    bool running_ = false;                ///< True between start() and stop().
 };
 
-/// A function that runs again and again on an io_context. An exception out of
-/// it is its failure.
+/// Calls a function periodically on an io_context. An exception thrown by the
+/// function is reported as a failure of the task.
 class periodic_task final : public supervised
 {
 public:
-    /// @param name In logs.
-    /// @param io Runs it.
-    /// @param interval From the end of one run to the next.
-    /// @param work The function.
+    /// @param name The task's name in logs.
+    /// @param interval The time from the end of one run to the next run.
     periodic_task(std::string name, boost::asio::io_context& io,
                   duration interval, std::function<void()> work);
 
@@ -121,21 +121,21 @@
     void run();
     void schedule_next_run();
 
-    std::string name_;                ///< In logs.
-    boost::asio::steady_timer timer_; ///< Until the next run.
-    duration interval_;               ///< Between runs.
-    std::function<void()> work_;      ///< The function.
-    failed_handler on_failure_;       ///< The supervisor.
+    std::string name_;
+    boost::asio::steady_timer timer_; ///< Expires at the next run.
+    duration interval_;               ///< The pause between runs.
+    std::function<void()> work_;
+    failed_handler on_failure_; ///< Receives this component's failure.
 };
 
-/// A function that runs on a thread of its own until it is asked to stop. An
-/// exception out of it is its failure.
+/// Runs a function on a dedicated thread until a stop is requested. An
+/// exception thrown by the function is reported as a failure of the task.
 class thread_task final : public supervised
 {
 public:
-    /// @param name In logs.
-    /// @param io The supervisor's thread, where failures are reported.
-    /// @param work Runs until `request_stop` is called.
+    /// @param name The task's name in logs.
+    /// @param io The supervisor's io_context; failures are reported on it.
+    /// @param work The function; runs until `request_stop` is called.
     /// @param request_stop Makes `work` return; called from another thread.
     thread_task(std::string name, boost::asio::io_context& io,
                 std::function<void()> work, std::function<void()> request_stop);
@@ -146,11 +146,11 @@
     void stop() override;
 
 private:
-    std::string name_;                   ///< In logs.
-    boost::asio::io_context& io_;        ///< The supervisor's thread.
-    std::function<void()> work_;         ///< The function.
-    std::function<void()> request_stop_; ///< Ends it.
-    std::thread thread_;                 ///< Runs it.
+    std::string name_;
+    boost::asio::io_context& io_;
+    std::function<void()> work_;
+    std::function<void()> request_stop_; ///< Makes `work_` return.
+    std::thread thread_;
 };
 
 } // namespace glenhollow
--- a/tests/unit/explain/night_report_tests.cpp
+++ b/tests/unit/explain/night_report_tests.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("a full ring keeps the newest decisions in order")
+TEST_CASE("a full decision ring keeps the latest decisions in order")
 {
     decision_ring ring(4);
     for (std::uint64_t i = 1; i <= 10; ++i)
@@ -44,7 +44,7 @@
     REQUIRE(ring.total() == 10);
 }
 
-TEST_CASE("a line survives being written and read")
+TEST_CASE("a report line is unchanged after serializing and parsing")
 {
     auto line = make_refusal(5);
     line.by = "anna";
@@ -55,7 +55,7 @@
     REQUIRE_FALSE(report_line::from_json("{}"));
 }
 
-TEST_CASE("lines that could not be written wait, in order")
+TEST_CASE("lines whose write failed are written again in the same order")
 {
     night_report report;
     report.add(make_refusal(1));
@@ -68,7 +68,7 @@
     REQUIRE(report.empty());
 }
 
-TEST_CASE("beyond the limit the oldest are summed up, none dropped silently")
+TEST_CASE("lines beyond the limit are counted in summaries, not lost")
 {
     night_report_settings small;
     small.max_lines = 10;
@@ -82,7 +82,7 @@
     REQUIRE(batch.find("15 older lines") != std::string::npos);
     report.failed();
     REQUIRE(report.take_batch().find("15 older lines") != std::string::npos);
-    // A shard's report is taken over with its sums.
+    // Merging a shard's report keeps its summaries.
     night_report whole;
     whole.merge(report);
     REQUIRE(whole.summarized_lines() == 15);
--- a/tests/unit/security/token_tests.cpp
+++ b/tests/unit/security/token_tests.cpp
@@ -4,7 +4,7 @@
 
 using namespace glenhollow;
 
-TEST_CASE("a token is known by its hash only")
+TEST_CASE("a token matches only its own hash, which does not contain it")
 {
     const auto hash = hash_token("secret-of-anna");
     REQUIRE(hash.size() == 64);
@@ -14,7 +14,7 @@
     REQUIRE_FALSE(token_matches("", hash));
 }
 
-TEST_CASE("operators are told by their bearer tokens")
+TEST_CASE("operators are identified by their bearer tokens")
 {
     const auto tokens =
         operator_tokens::parse("anna:aaaaaaaa,bruno:bbbbbbbb").value();
@@ -26,6 +26,6 @@
                 .value()
                 .owner_of("Bearer aaaaaaaa") == "operator");
     REQUIRE_FALSE(operator_tokens::parse("anna:short"));
-    // Without any token nobody is an operator.
+    // An empty list accepts no one, not even an empty token.
     REQUIRE_FALSE(operator_tokens::parse("").value().owner_of("Bearer "));
 }
--- a/tests/unit/supervision/supervisor_tests.cpp
+++ b/tests/unit/supervision/supervisor_tests.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// A part that fails when the test says so.
+/// A child that fails when the test calls `fail`.
 class fake_child final : public supervised
 {
 public:
@@ -23,15 +23,15 @@
     }
     void stop() override { ++stops; }
 
-    int starts = 0;      ///< So far.
-    int stops = 0;       ///< So far.
-    failed_handler fail; ///< Of the last start.
+    int starts = 0;
+    int stops = 0;
+    failed_handler fail; ///< The handler given to the last start().
 
 private:
-    std::string name_; ///< In logs.
+    std::string name_;
 };
 
-/// A supervisor with two parts.
+/// A running supervisor with two children.
 struct fixture
 {
     boost::asio::io_context io{1};
@@ -70,7 +70,7 @@
 
 } // namespace
 
-TEST_CASE("a failed part is started again, its sibling left alone")
+TEST_CASE("a failed child is restarted and its sibling keeps running")
 {
     fixture f(restart_policy::restart);
     f.one->fail("broken");
@@ -81,7 +81,7 @@
     REQUIRE(f.failed.empty());
 }
 
-TEST_CASE("too many restarts stop all parts and tell the parent")
+TEST_CASE("too many restarts stop all children and fail the supervisor")
 {
     fixture f(restart_policy::restart);
     for (int i = 0; i < 4; ++i)
@@ -94,7 +94,7 @@
     REQUIRE(f.one->starts == 4);
 }
 
-TEST_CASE("a part whose state cannot be rebuilt takes its parent along")
+TEST_CASE("the failure of a child with policy escalate fails the supervisor")
 {
     fixture f(restart_policy::escalate);
     f.two->fail("lost");
@@ -103,7 +103,7 @@
     REQUIRE(f.two->starts == 1);
 }
 
-TEST_CASE("an exception out of a periodic task is its failure")
+TEST_CASE("an exception thrown by a periodic task is reported as a failure")
 {
     boost::asio::io_context io{1};
     int runs = 0;
