--- a/src/glenhollow/runs/leaving_server.hpp
+++ b/src/glenhollow/runs/leaving_server.hpp
@@ -61,7 +61,7 @@
 /// in time neither here nor elsewhere, the other tasks of the job are not
 /// moved, because the job fails anyway.
 /// @param runs Current runs of the server.
-/// @param left Minimum time until the server shuts down.
+/// @param time_left Minimum time until the server shuts down.
 /// @param pace Pace of the server.
 /// @param settings Estimate margins and stop times.
 /// @return The runs that cannot finish before the shutdown.
--- a/src/glenhollow/runs/run_manager.hpp
+++ b/src/glenhollow/runs/run_manager.hpp
@@ -332,10 +332,10 @@
     bool are_runs_known() const;
 
     /// Handles a registration or heartbeat.
-    /// @param account What the backend server reported.
+    /// @param heartbeat What the backend server reported.
     /// @param times Times that it reported along with the account.
     /// @return Whether the account is used.
-    heartbeat_outcome registered(const server_account& account,
+    heartbeat_outcome registered(const server_account& heartbeat,
                                  const server_timing& times = {});
 
     /// Restores the account kept by the previous process of this agent. It
--- a/tests/schedule/simulated_entry.hpp
+++ b/tests/schedule/simulated_entry.hpp
@@ -63,7 +63,8 @@
     }
 
     /// @param others The other entries.
-    /// @param refuses Whether the VM of one refuses connections now.
+    /// @param refuses_connections Whether the VM of one refuses connections
+    /// now.
     void set_other_entries(std::vector<std::size_t> others,
                            std::function<bool(std::size_t)> refuses_connections)
     {
